--- a/Libraries/LibConsensus/ReadQuestions.cpp
+++ b/Libraries/LibConsensus/ReadIndexRequests.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibConsensus/ReadQuestions.h>
+#include <LibConsensus/ReadIndexRequests.h>
 
 #include <algorithm>
 #include <iterator>
@@ -11,21 +11,21 @@
 namespace Consensus
 {
 
-ReadQuestions::ReadQuestions(std::int64_t firstNumber) : firstNumber(firstNumber), lastNumber(firstNumber)
+ReadIndexRequests::ReadIndexRequests(std::int64_t firstNumber) : firstNumber(firstNumber), lastNumber(firstNumber)
 {
 }
 
-void ReadQuestions::add(ConfirmHook hook)
+void ReadIndexRequests::add(ConfirmHook hook)
 {
     this->readers.push_back(Reader{.hook = std::move(hook), .number = std::nullopt, .askedAt = {}, .index = std::nullopt});
 }
 
-bool ReadQuestions::isQuestionDue() const
+bool ReadIndexRequests::isRequestDue() const
 {
     return !this->readers.empty() && !this->readers.back().number.has_value();
 }
 
-std::int64_t ReadQuestions::nextQuestion(Core::Instant now)
+std::int64_t ReadIndexRequests::nextReadIndexRequest(Core::Instant now)
 {
     ++this->lastNumber;
     for (auto &reader : this->readers) {
@@ -37,7 +37,7 @@
     return this->lastNumber;
 }
 
-void ReadQuestions::takeAnswer(std::int64_t number, std::int64_t index)
+void ReadIndexRequests::handleAnswer(std::int64_t number, std::int64_t index)
 {
     // C5. What this life has not asked was asked by an earlier one.
     const bool wasAsked = number > this->firstNumber && number <= this->lastNumber;
@@ -52,7 +52,7 @@
     }
 }
 
-void ReadQuestions::finish(std::int64_t committedHere)
+void ReadIndexRequests::finish(std::int64_t committedHere)
 {
     this->finishWhere(
         [committedHere](const Reader &reader) {
@@ -61,7 +61,7 @@
         true);
 }
 
-void ReadQuestions::failAskedBefore(Core::Instant before)
+void ReadIndexRequests::failAskedBefore(Core::Instant before)
 {
     this->finishWhere(
         [before](const Reader &reader) {
@@ -70,7 +70,7 @@
         false);
 }
 
-void ReadQuestions::failAll()
+void ReadIndexRequests::failAll()
 {
     this->finishWhere(
         [](const Reader &) {
@@ -80,7 +80,7 @@
 }
 
 // NOTE: Readers are taken out before their hooks are called, since a hook may bring a new reader.
-void ReadQuestions::finishWhere(const std::function<bool(const Reader &reader)> &isOver, bool confirmed)
+void ReadIndexRequests::finishWhere(const std::function<bool(const Reader &reader)> &isOver, bool confirmed)
 {
     const auto firstOver = std::stable_partition(this->readers.begin(), this->readers.end(), [&isOver](const Reader &reader) {
         return !isOver(reader);
--- a/Libraries/LibConsensus/ReadQuestions.h
+++ b/Libraries/LibConsensus/ReadIndexRequests.h
@@ -21,26 +21,26 @@
 {
 
 /** One question stands for all readers that waited when it left. */
-class ReadQuestions
+class ReadIndexRequests
 {
 public:
     /** `confirmed` is true when what is applied here holds all that was committed when the reader came. */
     using ConfirmHook = std::function<void(bool confirmed)>;
 
     /** `firstNumber` must differ from life to life of a process: C5. An answer to an earlier life must not count for this one. */
-    explicit ReadQuestions(std::int64_t firstNumber);
+    explicit ReadIndexRequests(std::int64_t firstNumber);
 
     /** A reader came; it is covered by the next question. */
     void add(ConfirmHook hook);
 
     /** Whether a reader waits that no question covers yet. */
-    [[nodiscard]] bool isQuestionDue() const;
+    [[nodiscard]] bool isRequestDue() const;
 
     /** The number of a question that leaves now and covers all readers so far. */
-    [[nodiscard]] std::int64_t nextQuestion(Core::Instant now);
+    [[nodiscard]] std::int64_t nextReadIndexRequest(Core::Instant now);
 
     /** The leader answered a question: its quorum committed up to `index` by then. Later questions came after that, so it says nothing of them. */
-    void takeAnswer(std::int64_t number, std::int64_t index);
+    void handleAnswer(std::int64_t number, std::int64_t index);
 
     /** Calls the hooks of readers whose answer is in and reached by what is committed here. */
     void finish(std::int64_t committedHere);
--- a/Libraries/LibConsensus/ReplicatedLog.cpp
+++ b/Libraries/LibConsensus/ReplicatedLog.cpp
@@ -124,10 +124,10 @@
     return found == this->progress.end() ? 0 : found->second.matchIndex;
 }
 
-Core::Instant ReplicatedLog::lastHeardOf(const std::string &name) const
+Core::Instant ReplicatedLog::lastContactWith(const std::string &name) const
 {
     const auto found = this->progress.find(name);
-    return found == this->progress.end() ? Core::Instant() : found->second.lastHeard;
+    return found == this->progress.end() ? Core::Instant() : found->second.lastContact;
 }
 
 const std::string &ReplicatedLog::storageFailure() const
@@ -198,13 +198,13 @@
 // A log whose instances all start at once has no leader to wait for. Where there is one, E2 keeps it from being unseated.
 bool ReplicatedLog::takesTurns() const
 {
-    return this->options.firstElectionTurn.has_value() && !this->everHeardLeader && this->canStand();
+    return this->options.initialElectionStagger.has_value() && !this->everHeardLeader && this->canStand();
 }
 
 void ReplicatedLog::resetElectionTimer(Core::Instant now)
 {
     if (this->takesTurns()) {
-        this->electionDue = now + voterCount(this->store.membership()) * this->options.firstElectionTurn.value();
+        this->electionDue = now + voterCount(this->store.membership()) * this->options.initialElectionStagger.value();
         return;
     }
     const auto base = this->options.electionTimeout.count();
@@ -219,7 +219,7 @@
         return;
     }
     const auto earlierTurns = votersBefore(this->store.membership(), this->ownMember.name);
-    this->electionDue = now + (earlierTurns + 1) * this->options.firstElectionTurn.value();
+    this->electionDue = now + (earlierTurns + 1) * this->options.initialElectionStagger.value();
 }
 
 bool ReplicatedLog::canStand() const
@@ -251,7 +251,7 @@
 {
     // E6. A leader that has not heard from a quorum for the election timeout steps down.
     const bool inTouch = hasQuorum(this->store.membership(), [this, now](const Protocol::Member &voter) {
-        return voter.name == this->ownMember.name || now - this->lastHeardOf(voter.name) < this->options.electionTimeout;
+        return voter.name == this->ownMember.name || now - this->lastContactWith(voter.name) < this->options.electionTimeout;
     });
     if (!inTouch) {
         Core::logEvent(Core::LogLevel::Warning, "log.leader_without_quorum", {{"term", this->currentTerm}});
@@ -485,7 +485,7 @@
 {
     const Protocol::Member *furthest = nullptr;
     for (const auto &member : this->store.membership().members) {
-        const bool reachable = now - this->lastHeardOf(member.name) < this->options.electionTimeout;
+        const bool reachable = now - this->lastContactWith(member.name) < this->options.electionTimeout;
         const bool eligible = member.voter && member.name != this->ownMember.name && reachable;
         if (eligible && (furthest == nullptr || this->matchIndexOf(member.name) > this->matchIndexOf(furthest->name))) {
             furthest = &member;
@@ -504,7 +504,7 @@
     this->leaderName = this->ownMember.name;
     this->progress.clear();
     for (const auto &member : this->store.membership().members) {
-        this->progress[member.name] = Progress{.nextIndex = this->store.lastIndex() + 1, .lastHeard = now};
+        this->progress[member.name] = Progress{.nextIndex = this->store.lastIndex() + 1, .lastContact = now};
     }
     this->nextHeartbeat = now + this->options.heartbeatPeriod;
     Core::logEvent(Core::LogLevel::Information, "log.became_leader", {{"term", this->currentTerm}, {"last_index", this->store.lastIndex()}});
@@ -557,7 +557,7 @@
     Protocol::LogEntry entry;
     entry.__set_membership(proposal.membership.value());
     for (const auto &member : entry.membership.members) {
-        this->progress.try_emplace(member.name, Progress{.nextIndex = this->store.lastIndex() + 1, .lastHeard = this->nextHeartbeat});
+        this->progress.try_emplace(member.name, Progress{.nextIndex = this->store.lastIndex() + 1, .lastContact = this->nextHeartbeat});
     }
     if (change.kind == Protocol::MemberChangeKind::REMOVE) {
         this->progress.erase(change.member.name);
@@ -673,7 +673,7 @@
     if (progress == nullptr) {
         return;
     }
-    progress->lastHeard = now;
+    progress->lastContact = now;
     progress->confirmedRound = std::max(progress->confirmedRound, message.round);
     if (message.granted) {
         progress->matchIndex = std::max(progress->matchIndex, message.matchIndex);
@@ -697,7 +697,7 @@
     if (progress == nullptr) {
         return;
     }
-    progress->lastHeard = now;
+    progress->lastContact = now;
     progress->confirmedRound = std::max(progress->confirmedRound, message.round);
     this->finishConfirmations();
     if (message.granted) {
@@ -942,11 +942,11 @@
 void ReplicatedLog::askReadIndex(Core::Instant now)
 {
     const auto *leader = this->leader();
-    if (leader == nullptr || !this->reads.isQuestionDue()) {
+    if (leader == nullptr || !this->reads.isRequestDue()) {
         return;
     }
     LogMessage question = this->messageFor(*leader, MessageKind::READ_INDEX_REQUEST);
-    question.round = this->reads.nextQuestion(now);
+    question.round = this->reads.nextReadIndexRequest(now);
     this->hooks.send(*leader, std::move(question));
 }
 
@@ -967,7 +967,7 @@
         return;
     }
     // C4. What is applied here is current once it reaches the leader's commit index.
-    this->reads.takeAnswer(message.round, message.commitIndex);
+    this->reads.handleAnswer(message.round, message.commitIndex);
     this->reads.finish(this->committed);
 }
 
--- a/Libraries/LibConsensus/ReplicatedLog.h
+++ b/Libraries/LibConsensus/ReplicatedLog.h
@@ -10,7 +10,7 @@
 #pragma once
 
 #include <LibConsensus/LogStore.h>
-#include <LibConsensus/ReadQuestions.h>
+#include <LibConsensus/ReadIndexRequests.h>
 #include <LibCore/Time.h>
 
 #include <functional>
@@ -52,7 +52,7 @@
      * membership, so that those that start together don't split their votes. Longer than an election; nothing when the usual timeout holds
      * from the start.
      */
-    std::optional<Core::Duration> firstElectionTurn;
+    std::optional<Core::Duration> initialElectionStagger;
     std::size_t maximumBytesPerMessage{1024 * 1024};
     std::int64_t entriesBetweenSnapshots{4096};
     std::size_t snapshotPieceBytes{256 * 1024};
@@ -79,7 +79,7 @@
 {
 public:
     /** `confirmed` is true when a quorum took this instance for the leader after the question was asked. */
-    using ConfirmHook = ReadQuestions::ConfirmHook;
+    using ConfirmHook = ReadIndexRequests::ConfirmHook;
 
     [[nodiscard]] static Core::Result<std::unique_ptr<ReplicatedLog>> create(
         ReplicatedLogOptions options, ReplicatedLogHooks hooks, Storage::WriteAheadLog &writeAheadLog, Core::Instant now);
@@ -126,7 +126,7 @@
     /** Leader only: how far a member's log is known to agree. */
     [[nodiscard]] std::int64_t matchIndexOf(const std::string &name) const;
     /** Leader only: when a member was last heard. */
-    [[nodiscard]] Core::Instant lastHeardOf(const std::string &name) const;
+    [[nodiscard]] Core::Instant lastContactWith(const std::string &name) const;
     [[nodiscard]] const std::string &storageFailure() const;
 
 private:
@@ -135,7 +135,7 @@
         // Invariant: matchIndex < nextIndex.
         std::int64_t matchIndex{0};
         std::int64_t confirmedRound{0};
-        Core::Instant lastHeard;
+        Core::Instant lastContact;
         // While a snapshot is sent: which one, and how much of it arrived.
         std::int64_t snapshotIndex{0};
         std::int64_t snapshotOffset{0};
@@ -228,7 +228,7 @@
     std::int64_t round{0};
     bool roundWanted{false};
     std::vector<WaitingConfirmation> confirmations;
-    ReadQuestions reads;
+    ReadIndexRequests reads;
     IncomingSnapshot incomingSnapshot;
     std::string failureMessage;
 };
--- a/Libraries/LibControl/ControlNode.cpp
+++ b/Libraries/LibControl/ControlNode.cpp
@@ -355,7 +355,7 @@
     document["members"] = nlohmann::json::array();
     for (const auto &member : status.membership.members) {
         const bool isLeader = this->replicatedLog->role() == Consensus::Role::Leader;
-        const auto silence = Core::toMilliseconds(this->timers.now() - this->replicatedLog->lastHeardOf(member.name));
+        const auto silence = Core::toMilliseconds(this->timers.now() - this->replicatedLog->lastContactWith(member.name));
         document["members"].push_back({{"name", member.name},
             {"zone", member.zone},
             {"storage_id", member.storageId},
@@ -469,9 +469,9 @@
             [this](const std::string &name) {
                 return this->replicatedLog->matchIndexOf(name);
             },
-        .silenceOf =
+        .timeSinceContact =
             [this](const std::string &name) {
-                return this->timers.now() - this->replicatedLog->lastHeardOf(name);
+                return this->timers.now() - this->replicatedLog->lastContactWith(name);
             },
     };
     const auto change = chooseRepair(view, this->options.repair);
--- a/Libraries/LibControl/RepairPolicy.cpp
+++ b/Libraries/LibControl/RepairPolicy.cpp
@@ -12,7 +12,7 @@
 {
     for (const auto &member : view.membership.members) {
         const bool isOther = member.name != view.leaderName;
-        if (member.voter && isOther && view.silenceOf(member.name) >= options.replaceAfter) {
+        if (member.voter && isOther && view.timeSinceContact(member.name) >= options.replaceAfter) {
             return &member;
         }
     }
@@ -22,7 +22,7 @@
 static const Protocol::Member *findStandby(const RepairView &view, const RepairOptions &options)
 {
     for (const auto &member : view.membership.members) {
-        const bool fresh = view.silenceOf(member.name) <= options.standbyFreshness;
+        const bool fresh = view.timeSinceContact(member.name) <= options.standbyFreshness;
         if (!member.voter && fresh && view.matchIndexOf(member.name) >= view.commitIndex) {
             return &member;
         }
--- a/Libraries/LibControl/RepairPolicy.h
+++ b/Libraries/LibControl/RepairPolicy.h
@@ -30,7 +30,7 @@
     Protocol::Membership membership;
     std::int64_t commitIndex{0};
     std::function<std::int64_t(const std::string &name)> matchIndexOf;
-    std::function<Core::Duration(const std::string &name)> silenceOf;
+    std::function<Core::Duration(const std::string &name)> timeSinceContact;
 };
 
 /**
--- a/Libraries/LibCoordinator/CoordinatorNode.cpp
+++ b/Libraries/LibCoordinator/CoordinatorNode.cpp
@@ -30,7 +30,7 @@
     : options(std::move(options))
     , timers(timers)
     , incarnation(static_cast<std::int64_t>(Core::randomNumber() >> 1U))
-    , registry(Fleet::RegistryOptions{.unconfirmedLife = this->options.heartbeats.unconfirmedLife})
+    , registry(Fleet::RegistryOptions{.unconfirmedTimeout = this->options.heartbeats.unconfirmedTimeout})
     , lastExpiry(timers.now())
 {
 }
@@ -43,10 +43,10 @@
         return tl::make_unexpected(log.error());
     }
     node->log = std::move(log.value());
-    node->desk = std::make_unique<WatchDesk>(
-        WatchDeskOptions{.incarnation = node->incarnation, .hold = node->options.watchHold}, *node->log, node->registry, node->gateways, timers);
+    node->desk = std::make_unique<WatchService>(
+        WatchServiceOptions{.incarnation = node->incarnation, .hold = node->options.longPollTimeout}, *node->log, node->registry, node->gateways, timers);
     node->log->changed = [raw = node.get()] {
-        raw->desk->scheduleNews();
+        raw->desk->scheduleNotification();
     };
     node->registry.changed = [raw = node.get()](const Fleet::BackendRecord &record) {
         const auto &announcement = record.announcement;
@@ -60,16 +60,16 @@
                 {"born", announcement.born},
                 {"cold_ms", announcement.warmupLeftMs}});
         raw->store.note(announcement);
-        raw->desk->scheduleNews();
+        raw->desk->scheduleNotification();
     };
     node->gateways.changed = [raw = node.get()](const Fleet::BackendRecord &) {
-        raw->desk->scheduleNews();
+        raw->desk->scheduleNotification();
     };
     // Coordinators watch all others, and get declarations through the log only.
     node->peers = std::make_unique<Fleet::FleetWatcher>(Fleet::WatcherOptions{.name = node->options.log.log.identity.name,
                                                             .zone = node->options.log.log.identity.zone,
                                                             .own = node->options.watchEndpoint,
-                                                            .watchedAtOnce = SIZE_MAX,
+                                                            .maximumWatched = SIZE_MAX,
                                                             .wantsOrders = false,
                                                             .wantsHeard = true},
         node->registry,
@@ -209,7 +209,7 @@
     this->registry.mergeHeartbeat(announcement, this->timers.now());
 }
 
-void CoordinatorNode::farewell(const std::string &id, std::int64_t born)
+void CoordinatorNode::deregister(const std::string &id, std::int64_t born)
 {
     this->registry.markGone(id, this->timers.now(), born);
 }
@@ -248,11 +248,11 @@
 {
     const auto now = this->timers.now();
     const auto gap = now - std::exchange(this->lastExpiry, now);
-    const bool alone = this->peers->inReach() == 0 && !this->options.seeds.empty();
+    const bool alone = this->peers->reachableCount() == 0 && !this->options.seeds.empty();
     if (gap >= OwnPauseLimit || alone) {
         // G4. Silence proves nothing while this process stood still, or while heartbeats may go to others that it can't hear.
-        this->registry.excuseSilence(now);
-        this->gateways.excuseSilence(now);
+        this->registry.restartHeartbeatTimeouts(now);
+        this->gateways.restartHeartbeatTimeouts(now);
         return;
     }
     const auto backendsGone = this->registry.expire(now, this->options.heartbeats.silence);
@@ -390,25 +390,25 @@
     if (lowest != this->options.watchEndpoint) {
         return;
     }
-    Protocol::Membership founders;
+    Protocol::Membership initialMembers;
     for (const auto &seed : this->options.seeds) {
         if (seed == this->options.watchEndpoint) {
-            founders.members.push_back(replicated->identity());
+            initialMembers.members.push_back(replicated->identity());
             continue;
         }
         const auto found = this->introduced.find(seed);
         if (found == this->introduced.end() || found->second.initialised || !found->second.mayFound) {
             return;
         }
-        founders.members.push_back(found->second.member);
+        initialMembers.members.push_back(found->second.member);
     }
-    for (auto &member : founders.members) {
+    for (auto &member : initialMembers.members) {
         member.voter = true;
     }
-    const auto founded = replicated->bootstrap(founders);
+    const auto founded = replicated->bootstrap(initialMembers);
     Core::logEvent(Core::LogLevel::Information,
         "members.founded",
-        {{"voters", founders.members.size()}, {"outcome", founded.has_value() ? std::string("done") : founded.error().message}});
+        {{"voters", initialMembers.members.size()}, {"outcome", founded.has_value() ? std::string("done") : founded.error().message}});
 }
 
 void CoordinatorNode::changeMembers()
@@ -425,9 +425,9 @@
             [&replicated](const std::string &name) {
                 return replicated.matchIndexOf(name);
             },
-        .silenceOf =
+        .timeSinceContact =
             [this, &replicated](const std::string &name) {
-                return this->timers.now() - replicated.lastHeardOf(name);
+                return this->timers.now() - replicated.lastContactWith(name);
             },
     };
     const auto change = chooseMemberChange(view, this->options.membership);
@@ -439,7 +439,7 @@
         "members.change",
         {{"kind", change->kind == Protocol::MemberChangeKind::PROMOTE ? "promote" : "remove"},
             {"member", change->member.name},
-            {"silent_ms", Core::toMilliseconds(view.silenceOf(change->member.name))},
+            {"silent_ms", Core::toMilliseconds(view.timeSinceContact(change->member.name))},
             {"outcome", proposed.has_value() ? std::string("proposed") : proposed.error().message}});
 }
 
@@ -487,7 +487,7 @@
     page.gauge("crankrudder_backends_ready", "Backend servers that take work.", this->registry.readyCount());
     page.gauge("crankrudder_gateways", "Gateways that take requests.", this->gateways.readyCount());
     page.gauge("crankrudder_watchers", "Questions that are held for news.", static_cast<double>(this->desk->waitingCount()));
-    page.gauge("crankrudder_coordinators_in_reach", "Other coordinators that answer.", static_cast<double>(this->peers->inReach()));
+    page.gauge("crankrudder_coordinators_in_reach", "Other coordinators that answer.", static_cast<double>(this->peers->reachableCount()));
     page.counter("crankrudder_disk_syncs_total", "Writes that were made last.", static_cast<double>(this->log->syncCount()));
     if (replicated != nullptr) {
         page.gauge("crankrudder_log_term", "Election term.", static_cast<double>(replicated->term()));
@@ -505,7 +505,7 @@
     document["backends"] = this->registry.size();
     document["gateways"] = this->gateways.readyCount();
     document["watchers"] = this->desk->waitingCount();
-    document["peers_in_reach"] = this->peers->inReach();
+    document["peers_in_reach"] = this->peers->reachableCount();
     document["folder_usable"] = replicated != nullptr;
     if (replicated != nullptr) {
         document["member"] = replicated->identity().name;
--- a/Libraries/LibCoordinator/CoordinatorNode.h
+++ b/Libraries/LibCoordinator/CoordinatorNode.h
@@ -11,7 +11,7 @@
 #include <LibCoordinator/DeclarationLog.h>
 #include <LibCoordinator/MembershipPolicy.h>
 #include <LibCoordinator/RegistryStore.h>
-#include <LibCoordinator/WatchDesk.h>
+#include <LibCoordinator/WatchService.h>
 #include <LibFleet/BackendRegistry.h>
 #include <LibFleet/FleetWatcher.h>
 #include <LibFleet/HeartbeatTimes.h>
@@ -30,7 +30,7 @@
     /** The whole system starts for the first time with empty folders. */
     bool mayFound{false};
     /** A question without news is answered after this long, so that the asker knows that the coordinator lives. */
-    Core::Duration watchHold{Core::milliseconds(1800)};
+    Core::Duration longPollTimeout{Core::milliseconds(1800)};
     /** How long heartbeats of backend servers are waited for. */
     Fleet::HeartbeatTimes heartbeats{Fleet::HeartbeatTimes::of(Core::milliseconds(1200))};
     /** The same for a gateway, which calls at least each time that a question was held. */
@@ -88,7 +88,7 @@
     // Backend servers.
     void announce(const Protocol::BackendAnnouncement &announcement);
     /** `born` tells which life ends; 0 when the backend server did not say. */
-    void farewell(const std::string &id, std::int64_t born);
+    void deregister(const std::string &id, std::int64_t born);
 
     // Gateways and other coordinators.
     void watch(const Protocol::WatchRequest &request, const std::function<void(const Protocol::WatchReply &reply)> &done);
@@ -135,7 +135,7 @@
     // Gateways that take requests.
     Fleet::BackendRegistry gateways;
     // NOTE: After what it looks at.
-    std::unique_ptr<WatchDesk> desk;
+    std::unique_ptr<WatchService> desk;
     // Coordinators that introduced themselves, by address; only used until a log is founded.
     std::map<Core::Endpoint, Protocol::Introduction> introduced;
     std::map<Core::Endpoint, std::shared_ptr<Rpc::RpcChannel>> introductionChannels;
--- a/Libraries/LibCoordinator/DeclarationLog.cpp
+++ b/Libraries/LibCoordinator/DeclarationLog.cpp
@@ -307,7 +307,7 @@
     return this->replicatedLog.get();
 }
 
-bool DeclarationLog::hearsLeader() const
+bool DeclarationLog::hasKnownLeader() const
 {
     return this->replicatedLog && this->replicatedLog->leader() != nullptr;
 }
--- a/Libraries/LibCoordinator/DeclarationLog.h
+++ b/Libraries/LibCoordinator/DeclarationLog.h
@@ -89,7 +89,7 @@
     [[nodiscard]] const Consensus::ReplicatedLog *log() const;
     [[nodiscard]] bool isLeader() const;
     /** Whether there is a leader as far as this coordinator knows, itself included. */
-    [[nodiscard]] bool hearsLeader() const;
+    [[nodiscard]] bool hasKnownLeader() const;
     [[nodiscard]] std::size_t waitingProposals() const;
     [[nodiscard]] std::uint64_t syncCount() const;
 
--- a/Libraries/LibCoordinator/MembershipPolicy.cpp
+++ b/Libraries/LibCoordinator/MembershipPolicy.cpp
@@ -38,19 +38,19 @@
     [[nodiscard]] bool isLostVoter(const Protocol::Member &member) const
     {
         const bool isOther = member.name != this->view.leaderName;
-        const bool silent = this->view.silenceOf(member.name) >= this->options.replaceAfter;
+        const bool silent = this->view.timeSinceContact(member.name) >= this->options.replaceAfter;
         return member.voter && isOther && (silent || this->folderIsLost(member));
     }
 
     [[nodiscard]] bool isReadyLearner(const Protocol::Member &member) const
     {
-        const bool fresh = this->view.silenceOf(member.name) <= this->options.learnerFreshness;
+        const bool fresh = this->view.timeSinceContact(member.name) <= this->options.learnerFreshness;
         return !member.voter && fresh && !this->folderIsLost(member) && this->view.matchIndexOf(member.name) >= this->view.commitIndex;
     }
 
     [[nodiscard]] bool isUselessLearner(const Protocol::Member &member) const
     {
-        const bool silent = this->view.silenceOf(member.name) >= this->options.forgetLearnerAfter;
+        const bool silent = this->view.timeSinceContact(member.name) >= this->options.forgetLearnerAfter;
         return !member.voter && (silent || this->folderIsLost(member));
     }
 
@@ -82,12 +82,12 @@
     const auto voters = static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [](const auto &member) {
         return member.voter;
     }));
-    const bool replaced = voters > options.wantedVoters;
+    const bool replaced = voters > options.targetVoters;
     if (lostVoter != members.end() && replaced) {
         return makeChange(Protocol::MemberChangeKind::REMOVE, *lostVoter);
     }
     // A learner becomes a voter before the lost voter goes, so that the log is never held by fewer than before.
-    const bool needed = voters < options.wantedVoters || (lostVoter != members.end() && !replaced);
+    const bool needed = voters < options.targetVoters || (lostVoter != members.end() && !replaced);
     if (learner != members.end() && needed) {
         return makeChange(Protocol::MemberChangeKind::PROMOTE, *learner);
     }
--- a/Libraries/LibCoordinator/MembershipPolicy.h
+++ b/Libraries/LibCoordinator/MembershipPolicy.h
@@ -21,7 +21,7 @@
 /** How many vote, and how patient changes are. */
 struct MembershipPolicyOptions {
     /** Twice the number of folders that may be lost at once, and one. */
-    std::size_t wantedVoters{3};
+    std::size_t targetVoters{3};
     /** A voter that was silent for this long is replaced when a learner is there. Longer than a restart takes. */
     Core::Duration replaceAfter{Core::seconds(4)};
     /** A learner has to have been heard within this time. */
@@ -36,7 +36,7 @@
     Protocol::Membership membership;
     std::int64_t commitIndex{0};
     std::function<std::int64_t(const std::string &name)> matchIndexOf;
-    std::function<Core::Duration(const std::string &name)> silenceOf;
+    std::function<Core::Duration(const std::string &name)> timeSinceContact;
 };
 
 /** The next change, or nothing. */
--- a/Libraries/LibCoordinator/WatchDesk.cpp
+++ b/Libraries/LibCoordinator/WatchService.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibCoordinator/WatchDesk.h>
+#include <LibCoordinator/WatchService.h>
 
 #include <algorithm>
 
@@ -19,48 +19,51 @@
 // How long a question for a confirmation is held while there is no leader; about what an election takes.
 static constexpr Core::Duration ConfirmationHold = Core::milliseconds(400);
 
-WatchDesk::WatchDesk(
-    WatchDeskOptions options, DeclarationLog &log, const Fleet::BackendRegistry &registry, const Fleet::BackendRegistry &gateways, Core::TimerService &timers)
+WatchService::WatchService(WatchServiceOptions options,
+    DeclarationLog &log,
+    const Fleet::BackendRegistry &registry,
+    const Fleet::BackendRegistry &gateways,
+    Core::TimerService &timers)
     : options(options), log(log), registry(registry), gateways(gateways), timers(timers)
 {
     this->overdueTimer = timers.every(OverdueCheckPeriod, [this](Core::Instant) {
-        if (this->log.hearsLeader()) {
+        if (this->log.hasKnownLeader()) {
             this->confirmWatchers();
         }
         this->answerOverdueWatchers();
     });
 }
 
-std::size_t WatchDesk::waitingCount() const
+std::size_t WatchService::waitingCount() const
 {
     return this->watchers.size();
 }
 
-bool WatchDesk::hasRegistryNewsFor(const Protocol::WatchRequest &request) const
+bool WatchService::hasRegistryNewsFor(const Protocol::WatchRequest &request) const
 {
     switch (request.registryInterest) {
     case Protocol::RegistryInterest::EVERYTHING:
         return request.cursor < this->registry.position() || request.gatewayCursor < this->gateways.position();
     case Protocol::RegistryInterest::LEAVERS:
-        return request.cursor < this->registry.leaverPosition() || request.gatewayCursor < this->gateways.leaverPosition();
+        return request.cursor < this->registry.departurePosition() || request.gatewayCursor < this->gateways.departurePosition();
     default:
         return false;
     }
 }
 
-bool WatchDesk::hasOrdersFor(const Protocol::WatchRequest &request) const
+bool WatchService::hasOrdersFor(const Protocol::WatchRequest &request) const
 {
     return request.declarationVersion < this->log.version() || request.evacuationRevision < this->log.evacuations().revision;
 }
 
-bool WatchDesk::hasNewsFor(const Protocol::WatchRequest &request) const
+bool WatchService::hasNewsFor(const Protocol::WatchRequest &request) const
 {
     const bool otherLife = request.coordinatorIncarnation != this->options.incarnation;
     return otherLife || this->hasRegistryNewsFor(request) || this->hasOrdersFor(request);
 }
 
 // Coordinators tell each other everything at once, since what one hears is to reach the watchers of all.
-bool WatchDesk::hasUrgentNewsFor(const Protocol::WatchRequest &request) const
+bool WatchService::hasUrgentNewsFor(const Protocol::WatchRequest &request) const
 {
     const bool toldNoBackends = request.cursor == 0 && this->registry.position() > 0;
     const bool toldNoGateways = request.gatewayCursor == 0 && this->gateways.position() > 0;
@@ -68,11 +71,11 @@
         return this->hasNewsFor(request);
     }
     const bool wantsLeavers = request.registryInterest != Protocol::RegistryInterest::NOTHING;
-    const bool leaver = request.cursor < this->registry.leaverPosition() || request.gatewayCursor < this->gateways.leaverPosition();
+    const bool leaver = request.cursor < this->registry.departurePosition() || request.gatewayCursor < this->gateways.departurePosition();
     return (wantsLeavers && leaver) || this->hasOrdersFor(request);
 }
 
-void WatchDesk::watch(const Protocol::WatchRequest &request, const std::function<void(const Protocol::WatchReply &reply)> &done)
+void WatchService::watch(const Protocol::WatchRequest &request, const std::function<void(const Protocol::WatchReply &reply)> &done)
 {
     WaitingWatcher watcher{.request = request, .done = done, .answerBy = this->timers.now() + this->options.hold};
     if (request.confirm) {
@@ -91,7 +94,7 @@
     this->watchers.push_back(std::move(watcher));
 }
 
-void WatchDesk::confirmWatcher(WaitingWatcher watcher)
+void WatchService::confirmWatcher(WaitingWatcher watcher)
 {
     const std::weak_ptr<int> weak = this->alive;
     this->log.confirm([this, weak, watcher = std::move(watcher)](bool confirmed) {
@@ -107,7 +110,7 @@
 }
 
 // One that hears from a leader since it was asked can confirm what it could not at first.
-void WatchDesk::confirmWatchers()
+void WatchService::confirmWatchers()
 {
     std::list<WaitingWatcher> unconfirmed;
     for (auto next = this->watchers.begin(); next != this->watchers.end();) {
@@ -121,7 +124,7 @@
     }
 }
 
-std::vector<std::string> WatchDesk::heardFor(const std::string &watcher)
+std::vector<std::string> WatchService::heardFor(const std::string &watcher)
 {
     const auto since = std::exchange(this->heardUntil[watcher], this->timers.now());
     auto heard = this->registry.mergedSince(since);
@@ -130,25 +133,25 @@
     return heard;
 }
 
-void WatchDesk::addRegistry(Protocol::WatchReply &reply, const Protocol::WatchRequest &request) const
+void WatchService::addRegistry(Protocol::WatchReply &reply, const Protocol::WatchRequest &request) const
 {
-    const bool sameLife = request.coordinatorIncarnation == this->options.incarnation;
-    reply.cursor = sameLife ? request.cursor : 0;
-    reply.gatewayCursor = sameLife ? request.gatewayCursor : 0;
+    const bool isSameIncarnation = request.coordinatorIncarnation == this->options.incarnation;
+    reply.cursor = isSameIncarnation ? request.cursor : 0;
+    reply.gatewayCursor = isSameIncarnation ? request.gatewayCursor : 0;
     if (request.registryInterest == Protocol::RegistryInterest::NOTHING) {
         return;
     }
     const auto now = this->timers.now();
     const bool everything = request.registryInterest == Protocol::RegistryInterest::EVERYTHING;
-    reply.changed = everything ? this->registry.changedSince(reply.cursor, now) : this->registry.leaversSince(reply.cursor, now);
+    reply.changed = everything ? this->registry.changedSince(reply.cursor, now) : this->registry.departuresSince(reply.cursor, now);
     reply.cursor = this->registry.position();
-    reply.changedGateways = everything ? this->gateways.changedSince(reply.gatewayCursor, now) : this->gateways.leaversSince(reply.gatewayCursor, now);
+    reply.changedGateways = everything ? this->gateways.changedSince(reply.gatewayCursor, now) : this->gateways.departuresSince(reply.gatewayCursor, now);
     reply.gatewayCursor = this->gateways.position();
 }
 
-void WatchDesk::addDeclaration(Protocol::WatchReply &reply, std::int64_t heldVersion)
+void WatchService::addDeclaration(Protocol::WatchReply &reply, std::int64_t knownVersion)
 {
-    const auto *delta = this->log.deltaFrom(heldVersion);
+    const auto *delta = this->log.deltaFrom(knownVersion);
     if (delta != nullptr && delta->size() < this->log.compressed().size()) {
         reply.__set_declarationDelta(*delta);
     } else {
@@ -156,7 +159,7 @@
     }
 }
 
-void WatchDesk::answerWatcher(const WaitingWatcher &watcher, bool confirmed)
+void WatchService::answerWatcher(const WaitingWatcher &watcher, bool confirmed)
 {
     const auto &request = watcher.request;
     Protocol::WatchReply reply;
@@ -186,7 +189,7 @@
     watcher.done(reply);
 }
 
-void WatchDesk::scheduleNews()
+void WatchService::scheduleNotification()
 {
     if (this->newsTimer.isActive()) {
         return;
@@ -196,7 +199,7 @@
     });
 }
 
-void WatchDesk::scheduleArrivals()
+void WatchService::scheduleArrivals()
 {
     if (this->arrivalTimer.isActive()) {
         return;
@@ -208,7 +211,7 @@
     });
 }
 
-void WatchDesk::answerWatchersWithNews()
+void WatchService::answerWatchersWithNews()
 {
     this->answerWhere([this](const WaitingWatcher &watcher) {
         return this->hasUrgentNewsFor(watcher.request);
@@ -221,14 +224,14 @@
     }
 }
 
-void WatchDesk::answerOverdueWatchers()
+void WatchService::answerOverdueWatchers()
 {
     this->answerWhere([now = this->timers.now()](const WaitingWatcher &watcher) {
         return watcher.answerBy <= now;
     });
 }
 
-void WatchDesk::answerWhere(const std::function<bool(const WaitingWatcher &watcher)> &condition)
+void WatchService::answerWhere(const std::function<bool(const WaitingWatcher &watcher)> &condition)
 {
     std::list<WaitingWatcher> ready;
     for (auto next = this->watchers.begin(); next != this->watchers.end();) {
--- a/Libraries/LibCoordinator/WatchDesk.h
+++ b/Libraries/LibCoordinator/WatchService.h
@@ -17,30 +17,30 @@
 {
 
 /** How questions are held. */
-struct WatchDeskOptions {
+struct WatchServiceOptions {
     /** Names this life of the coordinator; cursors of another life mean nothing. */
     std::int64_t incarnation{0};
-    /** See CoordinatorOptions::watchHold. */
+    /** See CoordinatorOptions::longPollTimeout. */
     Core::Duration hold{Core::milliseconds(1800)};
 };
 
 /** Looks at the log and the registries of its coordinator, which outlive it. */
-class WatchDesk
+class WatchService
 {
 public:
-    WatchDesk(WatchDeskOptions options,
+    WatchService(WatchServiceOptions options,
         DeclarationLog &log,
         const Fleet::BackendRegistry &registry,
         const Fleet::BackendRegistry &gateways,
         Core::TimerService &timers);
-    WatchDesk(const WatchDesk &) = delete;
-    WatchDesk &operator=(const WatchDesk &) = delete;
+    WatchService(const WatchService &) = delete;
+    WatchService &operator=(const WatchService &) = delete;
 
     /** Calls `done` once, when there is news or the question was held for long enough. */
     void watch(const Protocol::WatchRequest &request, const std::function<void(const Protocol::WatchReply &reply)> &done);
 
     /** Something changed that watchers may want to know: at once who leaves and what is declared, a little later who arrives. */
-    void scheduleNews();
+    void scheduleNotification();
 
     [[nodiscard]] std::size_t waitingCount() const;
 
@@ -53,7 +53,7 @@
 
     void answerWatcher(const WaitingWatcher &watcher, bool confirmed);
     void addRegistry(Protocol::WatchReply &reply, const Protocol::WatchRequest &request) const;
-    void addDeclaration(Protocol::WatchReply &reply, std::int64_t heldVersion);
+    void addDeclaration(Protocol::WatchReply &reply, std::int64_t knownVersion);
     void confirmWatcher(WaitingWatcher watcher);
     void confirmWatchers();
     [[nodiscard]] bool hasRegistryNewsFor(const Protocol::WatchRequest &request) const;
@@ -68,7 +68,7 @@
     void answerWhere(const std::function<bool(const WaitingWatcher &watcher)> &condition);
     [[nodiscard]] std::vector<std::string> heardFor(const std::string &watcher);
 
-    WatchDeskOptions options;
+    WatchServiceOptions options;
     DeclarationLog &log;
     const Fleet::BackendRegistry &registry;
     const Fleet::BackendRegistry &gateways;
--- a/Libraries/LibEntry/ActionService.cpp
+++ b/Libraries/LibEntry/ActionService.cpp
@@ -55,12 +55,12 @@
         logRefusal(this->state, problem, call.service, call.requestId);
         done(problemAnswer(problem, call.requestId));
     };
-    const auto terms = findTerms(this->state, call.service, {});
-    if (!terms.has_value()) {
-        refuse(terms.error());
+    const auto parameters = findTerms(this->state, call.service, {});
+    if (!parameters.has_value()) {
+        refuse(parameters.error());
         return;
     }
-    const auto &actions = terms->declaration.actions;
+    const auto &actions = parameters->declaration.actions;
     if (std::find(actions.begin(), actions.end(), call.action) == actions.end()) {
         refuse(Problem{.type = ProblemType::UnknownAction, .run = RunState::NotRun, .detail = call.action, .retryAfter = std::nullopt});
         return;
@@ -72,9 +72,9 @@
         return;
     }
     const std::uint64_t id = this->nextRun++;
-    Run run{.call = std::move(call), .terms = terms.value(), .done = std::move(done), .attemptId = Core::randomToken()};
+    Run run{.call = std::move(call), .parameters = parameters.value(), .done = std::move(done), .attemptId = Core::randomToken()};
     run.digest = digestOf(run.call);
-    run.deadlineTimer = this->state.timers.once(run.terms.deadline - this->state.timers.now(), [this, id](Core::Instant) {
+    run.deadlineTimer = this->state.timers.once(run.parameters.deadline - this->state.timers.now(), [this, id](Core::Instant) {
         this->deadlineReached(id);
     });
     this->runs.emplace(id, std::move(run));
@@ -92,7 +92,7 @@
     request.requestDigest = run.digest;
     request.entryName = this->state.options.name.value();
     request.attemptId = run.attemptId;
-    const auto limit = Core::milliseconds(run.terms.urgencyClass.deadlineMilliseconds) + this->options.lateOutcome;
+    const auto limit = Core::milliseconds(run.parameters.urgencyClass.deadlineMilliseconds) + this->options.lateOutcome;
     request.executionLimitMilliseconds = static_cast<std::int32_t>(Core::toMilliseconds(limit));
     this->control.claim(request, [this, id](const Core::Result<Protocol::ClaimReply> &reply) {
         this->takeClaimReply(id, reply);
@@ -101,7 +101,7 @@
 
 void ActionService::retryClaim(std::uint64_t id, const std::string &leaderAddress)
 {
-    this->control.tryElsewhere(leaderAddress);
+    this->control.tryAnotherInstance(leaderAddress);
     this->later(id, this->options.controlRetryPause, &ActionService::claim);
 }
 
@@ -180,9 +180,9 @@
         .request = std::make_shared<const BackendRequest>(std::move(request)),
         .view = view,
         .shard = Core::ShardIndex(Core::shardOfKey(routingKey, view->shardCount())),
-        .priority = run.terms.urgencyClass.priority,
-        .deadline = run.terms.deadline,
-        .connectionShare = run.terms.connectionShare,
+        .priority = run.parameters.urgencyClass.priority,
+        .deadline = run.parameters.deadline,
+        .connectionShare = run.parameters.connectionShare,
         .excluded = run.tried,
         .sent =
             [this, id](const ReplicaChoice &choice) {
@@ -190,14 +190,14 @@
             },
         .done =
             [this, id](const SubRequestOutcome &outcome) {
-                this->takeOutcome(id, outcome);
+                this->handleOutcome(id, outcome);
             },
     };
     // A3. Never hedged: there is one sub-request at a time, and a next one only after the last one provably did not run.
     run.subRequest = this->state.dispatcher.submit(std::move(subRequest));
 }
 
-void ActionService::takeOutcome(std::uint64_t id, const SubRequestOutcome &outcome)
+void ActionService::handleOutcome(std::uint64_t id, const SubRequestOutcome &outcome)
 {
     auto *run = this->find(id);
     if (run == nullptr || run->stage != Stage::Sending) {
@@ -227,8 +227,8 @@
 void ActionService::takeRefusal(std::uint64_t id, const SubRequestOutcome &outcome)
 {
     auto &run = this->runs.at(id);
-    const bool timeLeft = this->state.timers.now() + this->options.controlRetryPause < run.terms.deadline;
-    const auto usable = static_cast<std::size_t>(run.terms.declaration.replicasPerShard);
+    const bool timeLeft = this->state.timers.now() + this->options.controlRetryPause < run.parameters.deadline;
+    const auto usable = static_cast<std::size_t>(run.parameters.declaration.replicasPerShard);
     if (timeLeft && outcome.backend.has_value() && run.tried.size() < usable) {
         this->send(id);
         return;
@@ -312,7 +312,7 @@
         this->forget(id);
         return;
     }
-    this->control.tryElsewhere(reply.has_value() ? reply->leaderAddress : std::string());
+    this->control.tryAnotherInstance(reply.has_value() ? reply->leaderAddress : std::string());
     if (this->state.timers.now() >= run->settleUntil) {
         Core::logEvent(Core::LogLevel::Warning, "action.not_settled", {{"request_id", run->call.requestId.value()}, {"key", run->call.key}});
         this->forget(id);
--- a/Libraries/LibEntry/ActionService.h
+++ b/Libraries/LibEntry/ActionService.h
@@ -62,7 +62,7 @@
     };
     struct Run {
         ActionCall call;
-        RequestTerms terms;
+        RequestParameters parameters;
         /** Empty once the caller has its answer. */
         AnswerHook done;
         std::string attemptId;
@@ -81,7 +81,7 @@
     void answerFromRecord(std::uint64_t id, const Protocol::ClaimReply &reply);
     void retryClaim(std::uint64_t id, const std::string &leaderAddress);
     void send(std::uint64_t id);
-    void takeOutcome(std::uint64_t id, const SubRequestOutcome &outcome);
+    void handleOutcome(std::uint64_t id, const SubRequestOutcome &outcome);
     void takeRefusal(std::uint64_t id, const SubRequestOutcome &outcome);
     void deadlineReached(std::uint64_t id);
     void settle(std::uint64_t id);
--- a/Libraries/LibEntry/ConfigurationInForce.cpp
+++ b/Libraries/LibEntry/ActiveConfiguration.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibEntry/ConfigurationInForce.h>
+#include <LibEntry/ActiveConfiguration.h>
 
 #include <LibControl/ConfigurationDelta.h>
 
@@ -12,7 +12,7 @@
 namespace Entry
 {
 
-bool ConfigurationInForce::take(const Protocol::FollowReply &reply, Core::Instant sentAt)
+bool ActiveConfiguration::take(const Protocol::FollowReply &reply, Core::Instant sentAt)
 {
     if (!reply.confirmed || Core::Revision(reply.revision) < this->currentRevision) {
         // L3. A revision never goes back, whoever says so.
@@ -39,7 +39,7 @@
     return true;
 }
 
-void ConfigurationInForce::index()
+void ActiveConfiguration::index()
 {
     this->services.clear();
     this->classes.clear();
@@ -51,40 +51,40 @@
     }
 }
 
-bool ConfigurationInForce::isFresh(Core::Instant now) const
+bool ActiveConfiguration::isFresh(Core::Instant now) const
 {
     // L2. A fresh process serves nothing before its first confirmed reply.
     return this->everConfirmed && now < this->leaseEnd;
 }
 
-Core::Instant ConfigurationInForce::freshUntil() const
+Core::Instant ActiveConfiguration::freshUntil() const
 {
     return this->leaseEnd;
 }
 
-Core::Revision ConfigurationInForce::revision() const
+Core::Revision ActiveConfiguration::revision() const
 {
     return this->currentRevision;
 }
 
-const Protocol::Configuration &ConfigurationInForce::configuration() const
+const Protocol::Configuration &ActiveConfiguration::configuration() const
 {
     return this->current;
 }
 
-const Protocol::ServiceDeclaration *ConfigurationInForce::service(const Core::ServiceName &name) const
+const Protocol::ServiceDeclaration *ActiveConfiguration::service(const Core::ServiceName &name) const
 {
     const auto found = this->services.find(name.value());
     return found == this->services.end() ? nullptr : found->second;
 }
 
-const Protocol::UrgencyClass *ConfigurationInForce::urgencyClass(const std::string &name) const
+const Protocol::UrgencyClass *ActiveConfiguration::urgencyClass(const std::string &name) const
 {
     const auto found = this->classes.find(name);
     return found == this->classes.end() ? nullptr : found->second;
 }
 
-int ConfigurationInForce::connectionShare(const Protocol::ServiceDeclaration &service) const
+int ActiveConfiguration::connectionShare(const Protocol::ServiceDeclaration &service) const
 {
     return std::max(1, service.connectionCapPerReplica / std::max(1, this->current.maximumEntryInstances));
 }
--- a/Libraries/LibEntry/ConfigurationInForce.h
+++ b/Libraries/LibEntry/ActiveConfiguration.h
@@ -20,7 +20,7 @@
 {
 
 /** Pure: takes replies, answers whether the configuration may be used. */
-class ConfigurationInForce
+class ActiveConfiguration
 {
 public:
     /** Takes a confirmed reply to a request that was sent at `sentAt`. Returns false when the reply could not be used. */
--- a/Libraries/LibEntry/BackendTable.cpp
+++ b/Libraries/LibEntry/BackendTable.cpp
@@ -37,7 +37,7 @@
     const bool alters = isNewIncarnation || backend.announcement.state != announcement.state || backend.announcement.snapshots != announcement.snapshots;
     if (isNewIncarnation) {
         // What was seen of the last incarnation says nothing of this one, but for the requests still in flight.
-        backend.evidence = BackendEvidence{.inFlight = backend.evidence.inFlight};
+        backend.health = BackendHealth{.inFlight = backend.health.inFlight};
     }
     backend.announcement = announcement;
     backend.announcedAt = announcedAt;
@@ -71,7 +71,7 @@
     }
     const bool otherAddress = announcement.address != known.address || announcement.port != known.port;
     // A name moves to another address only after its holder left, fell silent, or stopped answering.
-    if (otherAddress && this->isUsable(backend, now) && backend.evidence.lastReply + this->options.lease > now) {
+    if (otherAddress && this->isUsable(backend, now) && backend.health.lastReply + this->options.lease > now) {
         return AnnounceOutcome::NameTaken;
     }
     this->adopt(backend, announcement, now - age);
@@ -87,13 +87,13 @@
     }
 }
 
-void BackendTable::noteReply(BackendId id, std::int64_t incarnation, Core::Instant now)
+void BackendTable::recordReply(BackendId id, std::int64_t incarnation, Core::Instant now)
 {
     auto &backend = this->row(id);
     if (backend.announcement.incarnation != incarnation) {
         return;
     }
-    backend.evidence.lastReply = now;
+    backend.health.lastReply = now;
     backend.leaseEnd = std::max(backend.leaseEnd, now + this->options.lease);
 }
 
--- a/Libraries/LibEntry/BackendTable.h
+++ b/Libraries/LibEntry/BackendTable.h
@@ -5,7 +5,7 @@
 
 // The table of backend servers that this entry instance knows, with what they
 // announced and what this instance saw of them itself. docs/REGISTRY.md gives
-// the rules by which evidence wins over evidence.
+// the rules by which health wins over health.
 
 #pragma once
 
@@ -26,7 +26,7 @@
 using BackendId = Core::StrongValue<struct BackendIdTag, std::size_t>;
 
 /** What this instance saw of a backend server itself. */
-struct BackendEvidence {
+struct BackendHealth {
     /** Smoothed latency of successful replies. */
     Core::Duration smoothedLatency{0};
     int inFlight{0};
@@ -53,7 +53,7 @@
     Core::Instant leaseEnd;
     /** Incarnations up to this one are leaving; announcements of theirs change nothing any more. */
     std::int64_t leavingIncarnation{-1};
-    BackendEvidence evidence;
+    BackendHealth health;
 };
 
 /** What became of an announcement. */
@@ -67,7 +67,7 @@
     NameTaken,
 };
 
-/** How long evidence lasts. */
+/** How long health lasts. */
 struct BackendTableOptions {
     /** How long one announcement or direct reply keeps a backend server in use. */
     Core::Duration lease{Core::milliseconds(3000)};
@@ -88,7 +88,7 @@
     void markLeaving(BackendId id, std::int64_t incarnation);
 
     /** The backend server answered, so it lives, whatever announcements were lost. */
-    void noteReply(BackendId id, std::int64_t incarnation, Core::Instant now);
+    void recordReply(BackendId id, std::int64_t incarnation, Core::Instant now);
 
     /** Whether new work may go to a backend server. */
     [[nodiscard]] bool isUsable(const Backend &backend, Core::Instant now) const;
--- a/Libraries/LibEntry/ConfigurationFollower.cpp
+++ b/Libraries/LibEntry/ConfigurationFollower.cpp
@@ -11,8 +11,12 @@
 {
 
 ConfigurationFollower::ConfigurationFollower(
-    ConfigurationFollowerOptions options, ConfigurationInForce &inForce, ControlAccess &control, Core::TimerService &timers)
-    : options(std::move(options)), inForce(inForce), control(control), timers(timers), next(timers.once(Core::Duration(0), [this](Core::Instant) {
+    ConfigurationFollowerOptions options, ActiveConfiguration &activeConfiguration, ControlAccess &control, Core::TimerService &timers)
+    : options(std::move(options))
+    , activeConfiguration(activeConfiguration)
+    , control(control)
+    , timers(timers)
+    , next(timers.once(Core::Duration(0), [this](Core::Instant) {
         this->ask();
     }))
 {
@@ -28,31 +32,32 @@
     Protocol::FollowRequest request;
     request.entryName = this->options.entryName.value();
     request.incarnation = this->options.incarnation;
-    request.revision = this->inForce.revision().value();
+    request.revision = this->activeConfiguration.revision().value();
     const Core::Instant sentAt = this->timers.now();
     const std::weak_ptr<int> stillAlive = this->alive;
     this->control.follow(request, [this, stillAlive, sentAt](const Core::Result<Protocol::FollowReply> &reply) {
         if (!stillAlive.expired()) {
-            this->takeReply(reply, sentAt);
+            this->handleReply(reply, sentAt);
         }
     });
 }
 
-void ConfigurationFollower::takeReply(const Core::Result<Protocol::FollowReply> &reply, Core::Instant sentAt)
+void ConfigurationFollower::handleReply(const Core::Result<Protocol::FollowReply> &reply, Core::Instant sentAt)
 {
-    const auto before = this->inForce.revision();
-    const bool usable = reply.has_value() && this->inForce.take(reply.value(), sentAt);
+    const auto before = this->activeConfiguration.revision();
+    const bool usable = reply.has_value() && this->activeConfiguration.take(reply.value(), sentAt);
     if (!usable) {
         ++this->failures;
-        this->control.tryElsewhere(reply.has_value() ? reply->leaderAddress : std::string());
+        this->control.tryAnotherInstance(reply.has_value() ? reply->leaderAddress : std::string());
     } else {
         this->failures = 0;
     }
-    if (usable && this->inForce.revision() != before) {
-        Core::logEvent(Core::LogLevel::Information, "configuration.in_force", {{"revision", this->inForce.revision().value()}, {"was", before.value()}});
+    if (usable && this->activeConfiguration.revision() != before) {
+        Core::logEvent(
+            Core::LogLevel::Information, "configuration.in_force", {{"revision", this->activeConfiguration.revision().value()}, {"was", before.value()}});
     }
     // A new revision is confirmed to the control instances at once, so that operators see it in force.
-    const bool confirmSoon = usable && this->inForce.revision() != before;
+    const bool confirmSoon = usable && this->activeConfiguration.revision() != before;
     const auto pause = confirmSoon ? Core::Duration(0) : usable ? this->options.period : this->options.retryPeriod;
     this->next = this->timers.once(pause, [this](Core::Instant) {
         this->ask();
--- a/Libraries/LibEntry/ConfigurationFollower.h
+++ b/Libraries/LibEntry/ConfigurationFollower.h
@@ -9,7 +9,7 @@
 #pragma once
 
 #include <LibCore/TimerService.h>
-#include <LibEntry/ConfigurationInForce.h>
+#include <LibEntry/ActiveConfiguration.h>
 #include <LibEntry/ControlClient.h>
 
 namespace Entry
@@ -28,17 +28,17 @@
 class ConfigurationFollower
 {
 public:
-    ConfigurationFollower(ConfigurationFollowerOptions options, ConfigurationInForce &inForce, ControlAccess &control, Core::TimerService &timers);
+    ConfigurationFollower(ConfigurationFollowerOptions options, ActiveConfiguration &activeConfiguration, ControlAccess &control, Core::TimerService &timers);
 
     /** Questions that got no usable answer since the last one that did. */
     [[nodiscard]] int failuresInARow() const;
 
 private:
     void ask();
-    void takeReply(const Core::Result<Protocol::FollowReply> &reply, Core::Instant sentAt);
+    void handleReply(const Core::Result<Protocol::FollowReply> &reply, Core::Instant sentAt);
 
     ConfigurationFollowerOptions options;
-    ConfigurationInForce &inForce;
+    ActiveConfiguration &activeConfiguration;
     ControlAccess &control;
     Core::TimerService &timers;
     int failures{0};
--- a/Libraries/LibEntry/ControlClient.cpp
+++ b/Libraries/LibEntry/ControlClient.cpp
@@ -42,7 +42,7 @@
     return channel;
 }
 
-void ControlClient::tryElsewhere(const std::string &leaderAddress)
+void ControlClient::tryAnotherInstance(const std::string &leaderAddress)
 {
     const auto leader = Core::Endpoint::parse(leaderAddress);
     if (leader.has_value() && leader.value() != this->current) {
--- a/Libraries/LibEntry/ControlClient.h
+++ b/Libraries/LibEntry/ControlClient.h
@@ -39,7 +39,7 @@
     virtual void settle(const Protocol::SettleRequest &request, ReplyHook<Protocol::SettleReply> done) = 0;
 
     /** The instance that was asked last is not the leader, or did not answer: the next try goes elsewhere. */
-    virtual void tryElsewhere(const std::string &leaderAddress) = 0;
+    virtual void tryAnotherInstance(const std::string &leaderAddress) = 0;
 };
 
 /** Calls over Thrift. */
@@ -51,7 +51,7 @@
     void follow(const Protocol::FollowRequest &request, ReplyHook<Protocol::FollowReply> done) override;
     void claim(const Protocol::ClaimRequest &request, ReplyHook<Protocol::ClaimReply> done) override;
     void settle(const Protocol::SettleRequest &request, ReplyHook<Protocol::SettleReply> done) override;
-    void tryElsewhere(const std::string &leaderAddress) override;
+    void tryAnotherInstance(const std::string &leaderAddress) override;
 
     /** Whom the next call goes to. */
     [[nodiscard]] Core::Endpoint target() const;
--- a/Libraries/LibEntry/Dispatcher.cpp
+++ b/Libraries/LibEntry/Dispatcher.cpp
@@ -86,7 +86,7 @@
     case AttemptStatus::Answered:
         ++this->counts.answered;
         this->selector.noteSuccess(backend, latency, attempt.subRequest.connectionShare);
-        this->table.noteReply(attempt.backend, attempt.incarnation, now);
+        this->table.recordReply(attempt.backend, attempt.incarnation, now);
         this->latencies(attempt.subRequest.request->service).add(latency);
         return;
     case AttemptStatus::Refused:
@@ -99,7 +99,7 @@
     case AttemptStatus::NotSent:
     case AttemptStatus::Failed:
         ++this->counts.failed;
-        this->selector.noteFailure(backend, now);
+        this->selector.recordFailure(backend, now);
         return;
     }
 }
@@ -198,7 +198,7 @@
         const auto &excluded = subRequest.excluded;
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), id) != excluded.end();
         const bool usable = this->table.isUsable(backend, this->timers.now()) && ReplicaSelector::hasRoom(backend, subRequest.connectionShare);
-        return !isExcluded && usable && backend.evidence.inFlight < std::max(1, backend.announcement.slots);
+        return !isExcluded && usable && backend.health.inFlight < std::max(1, backend.announcement.slots);
     });
 }
 
--- a/Libraries/LibEntry/EntryNode.cpp
+++ b/Libraries/LibEntry/EntryNode.cpp
@@ -184,17 +184,17 @@
     const Core::Instant now = this->timers.now();
     auto rows = nlohmann::json::array();
     for (const auto &backend : this->state.backends.rows()) {
-        const auto &evidence = backend.evidence;
+        const auto &health = backend.health;
         auto row = announcementToJson(backend.announcement);
         row["usable"] = this->state.backends.isUsable(backend, now);
         row["leaving"] = backend.announcement.incarnation <= backend.leavingIncarnation;
         row["lease_left_ms"] = Core::toMilliseconds(backend.leaseEnd - now);
-        row["ejected_for_ms"] = std::max<std::int64_t>(0, Core::toMilliseconds(evidence.ejectedUntil - now));
-        row["in_flight"] = evidence.inFlight;
-        row["concurrency_limit"] = evidence.concurrencyLimit;
-        row["smoothed_latency_ms"] = Core::toFractionalMilliseconds(evidence.smoothedLatency);
-        row["replies"] = evidence.replies;
-        row["failures"] = evidence.failures;
+        row["ejected_for_ms"] = std::max<std::int64_t>(0, Core::toMilliseconds(health.ejectedUntil - now));
+        row["in_flight"] = health.inFlight;
+        row["concurrency_limit"] = health.concurrencyLimit;
+        row["smoothed_latency_ms"] = Core::toFractionalMilliseconds(health.smoothedLatency);
+        row["replies"] = health.replies;
+        row["failures"] = health.failures;
         rows.push_back(std::move(row));
     }
     return rows;
--- a/Libraries/LibEntry/EntryState.cpp
+++ b/Libraries/LibEntry/EntryState.cpp
@@ -62,7 +62,7 @@
     return tl::make_unexpected(Problem{.type = type, .run = RunState::NotRun, .detail = std::move(detail), .retryAfter = retryAfter});
 }
 
-tl::expected<RequestTerms, Problem> findTerms(EntryState &state, const Core::ServiceName &service, const std::string &className)
+tl::expected<RequestParameters, Problem> findTerms(EntryState &state, const Core::ServiceName &service, const std::string &className)
 {
     const Core::Instant now = state.timers.now();
     if (state.draining) {
@@ -83,7 +83,7 @@
     if (urgencyClass == nullptr) {
         return refuse(ProblemType::UnknownClass, "\"" + wanted + "\" is not declared");
     }
-    return RequestTerms{
+    return RequestParameters{
         .service = service,
         .declaration = *declaration,
         .urgencyClass = *urgencyClass,
--- a/Libraries/LibEntry/EntryState.h
+++ b/Libraries/LibEntry/EntryState.h
@@ -8,9 +8,9 @@
 
 #pragma once
 
+#include <LibEntry/ActiveConfiguration.h>
 #include <LibEntry/Admission.h>
 #include <LibEntry/BackendTable.h>
-#include <LibEntry/ConfigurationInForce.h>
 #include <LibEntry/Dispatcher.h>
 #include <LibEntry/HedgePolicy.h>
 #include <LibEntry/Problem.h>
@@ -61,7 +61,7 @@
 
     EntryOptions options;
     Core::TimerService &timers;
-    ConfigurationInForce configuration;
+    ActiveConfiguration configuration;
     BackendTable backends;
     SnapshotChooser snapshots;
     Dispatcher dispatcher;
@@ -94,7 +94,7 @@
 [[nodiscard]] CallerAnswer problemAnswer(const Problem &problem, const Core::RequestId &requestId);
 
 /** A declared service with the class that a request falls under. */
-struct RequestTerms {
+struct RequestParameters {
     Core::ServiceName service;
     Protocol::ServiceDeclaration declaration;
     Protocol::UrgencyClass urgencyClass;
@@ -102,7 +102,7 @@
     Core::Instant deadline;
 };
 
-/** The terms of a request at this moment, or why it is refused before anything was run. */
-[[nodiscard]] tl::expected<RequestTerms, Problem> findTerms(EntryState &state, const Core::ServiceName &service, const std::string &className);
+/** The parameters of a request at this moment, or why it is refused before anything was run. */
+[[nodiscard]] tl::expected<RequestParameters, Problem> findTerms(EntryState &state, const Core::ServiceName &service, const std::string &className);
 
 }
--- a/Libraries/LibEntry/FanOut.cpp
+++ b/Libraries/LibEntry/FanOut.cpp
@@ -87,13 +87,13 @@
     // The hook needs the id, which submit() gives; the hook itself comes later.
     const auto id = std::make_shared<SubRequestId>();
     subRequest.done = [this, position, id](SubRequestOutcome result) {
-        this->takeOutcome(position, *id, std::move(result));
+        this->handleOutcome(position, *id, std::move(result));
     };
     *id = this->dispatcher.submit(std::move(subRequest));
     this->shards[position].outstanding.push_back(*id);
 }
 
-void FanOut::takeOutcome(std::size_t position, SubRequestId id, SubRequestOutcome result)
+void FanOut::handleOutcome(std::size_t position, SubRequestId id, SubRequestOutcome result)
 {
     auto &shard = this->shards[position];
     std::erase(shard.outstanding, id);
--- a/Libraries/LibEntry/FanOut.h
+++ b/Libraries/LibEntry/FanOut.h
@@ -94,7 +94,7 @@
 
     [[nodiscard]] SubRequest makeSubRequest(std::size_t position);
     void submit(std::size_t position, const std::string &kind);
-    void takeOutcome(std::size_t position, SubRequestId id, SubRequestOutcome outcome);
+    void handleOutcome(std::size_t position, SubRequestId id, SubRequestOutcome outcome);
     void takeFailure(std::size_t position, const SubRequestOutcome &outcome);
     [[nodiscard]] bool mayRetry(const ShardState &shard, const AttemptResult &result);
     void retry(std::size_t position);
--- a/Libraries/LibEntry/PeerRelay.cpp
+++ b/Libraries/LibEntry/PeerRelay.cpp
@@ -144,7 +144,7 @@
     const Core::Instant now = this->timers.now();
     std::vector<Protocol::RelayedAnnouncement> all;
     for (const auto &backend : this->table.rows()) {
-        // The latest evidence counts, a direct reply as much as an announcement. What has run out here would run out there at once.
+        // The latest health counts, a direct reply as much as an announcement. What has run out here would run out there at once.
         const auto lease = this->table.tableOptions().lease;
         const Core::Duration age = now - (backend.leaseEnd - lease);
         if (age >= lease) {
--- a/Libraries/LibEntry/QueryService.cpp
+++ b/Libraries/LibEntry/QueryService.cpp
@@ -33,7 +33,7 @@
     return Problem{.type = type, .run = RunState::NotRun, .detail = std::move(detail), .retryAfter = retryAfter};
 }
 
-std::optional<Problem> QueryService::admit(const RequestTerms &terms, const SnapshotView &view) const
+std::optional<Problem> QueryService::admit(const RequestParameters &parameters, const SnapshotView &view) const
 {
     // The replicas' slots are shared with the other entry instances, so this one counts on its part of them and not on all that it may connect to.
     double slots = 0.0;
@@ -45,11 +45,11 @@
     const double instances = std::max(1, this->state.configuration.configuration().maximumEntryInstances);
     const AdmissionView admission{
         .parallelRequests = slots / static_cast<double>(view.replicas.size()) / instances,
-        .typicalLatency = this->state.dispatcher.latencies(terms.service).quantile(0.5, AssumedLatency),
-        .deadline = Core::milliseconds(terms.urgencyClass.deadlineMilliseconds),
-        .priority = terms.urgencyClass.priority,
+        .typicalLatency = this->state.dispatcher.latencies(parameters.service).quantile(0.5, AssumedLatency),
+        .deadline = Core::milliseconds(parameters.urgencyClass.deadlineMilliseconds),
+        .priority = parameters.urgencyClass.priority,
     };
-    const auto retryAfter = this->state.admission.refuse(terms.service, admission);
+    const auto retryAfter = this->state.admission.refuse(parameters.service, admission);
     if (!retryAfter.has_value()) {
         return std::nullopt;
     }
@@ -65,9 +65,9 @@
     };
     auto &counted = call.operation == Operation::Search ? this->state.counters.searches : this->state.counters.lookups;
     ++counted;
-    const auto terms = findTerms(this->state, call.service, call.urgencyClass);
-    if (!terms.has_value()) {
-        refuse(terms.error());
+    const auto parameters = findTerms(this->state, call.service, call.urgencyClass);
+    if (!parameters.has_value()) {
+        refuse(parameters.error());
         return;
     }
     const auto view = this->state.snapshots.choose(call.service, this->state.backends, this->state.timers.now(), call.minimumSnapshot);
@@ -75,7 +75,7 @@
         refuse(notRun(ProblemType::NoSnapshot, "no backend server holds a snapshot that would do", SoonAgain));
         return;
     }
-    const auto overload = this->admit(terms.value(), *view);
+    const auto overload = this->admit(parameters.value(), *view);
     if (overload.has_value()) {
         refuse(overload.value());
         return;
@@ -86,10 +86,10 @@
     request.subject = call.subject;
     request.limit = call.limit;
     const std::uint64_t id = this->nextRun++;
-    this->state.admission.entered(call.service, terms->urgencyClass.priority);
+    this->state.admission.entered(call.service, parameters->urgencyClass.priority);
     this->runs.emplace(id,
         Run{.call = std::move(call),
-            .terms = terms.value(),
+            .parameters = parameters.value(),
             .done = std::move(done),
             .request = std::make_shared<const BackendRequest>(std::move(request)),
             .view = view,
@@ -117,15 +117,15 @@
         .request = run.request,
         .view = run.view,
         .shards = shardsOf(run.call, *run.view),
-        .priority = run.terms.urgencyClass.priority,
-        .deadline = run.terms.deadline,
-        .connectionShare = run.terms.connectionShare,
+        .priority = run.parameters.urgencyClass.priority,
+        .deadline = run.parameters.deadline,
+        .connectionShare = run.parameters.connectionShare,
     };
     this->state.counters.firstAttempts += options.shards.size();
     auto &policy = this->state.hedgePolicy(run.call.service);
     run.fanOut = std::make_unique<FanOut>(std::move(options), this->state.dispatcher, policy, this->state.backends, this->state.timers);
     run.fanOut->start([this, id](FanOutOutcome outcome) {
-        this->takeOutcome(id, std::move(outcome));
+        this->handleOutcome(id, std::move(outcome));
     });
 }
 
@@ -140,7 +140,7 @@
     auto &run = this->runs.at(id);
     const Core::Instant now = this->state.timers.now();
     const auto typical = this->state.dispatcher.latencies(run.call.service).quantile(0.5, AssumedLatency);
-    if (!outcome.snapshotLost || run.restarts >= MaximumRestarts || now + typical >= run.terms.deadline) {
+    if (!outcome.snapshotLost || run.restarts >= MaximumRestarts || now + typical >= run.parameters.deadline) {
         return false;
     }
     const auto view = this->state.snapshots.choose(run.call.service, this->state.backends, now, run.call.minimumSnapshot);
@@ -159,7 +159,7 @@
     return {{"version", key.version}, {"shard_map", key.shardMap}};
 }
 
-void QueryService::takeOutcome(std::uint64_t id, FanOutOutcome outcome)
+void QueryService::handleOutcome(std::uint64_t id, FanOutOutcome outcome)
 {
     this->count(outcome);
     // NOTE: The fan-out that calls is replaced or destroyed below; it does nothing more after this hook.
@@ -168,11 +168,11 @@
     }
     auto &run = this->runs.at(id);
     const Coverage coverage = coverageOf(outcome.shards);
-    const auto &urgencyClass = run.terms.urgencyClass;
+    const auto &urgencyClass = run.parameters.urgencyClass;
     if (!isEnough(coverage, urgencyClass)) {
         ++this->state.counters.refusedUnknown;
         Problem problem{.type = ProblemType::CoverageBelowMinimum, .run = RunState::Unknown, .detail = {}, .retryAfter = SoonAgain};
-        if (this->state.timers.now() >= run.terms.deadline) {
+        if (this->state.timers.now() >= run.parameters.deadline) {
             problem.type = ProblemType::DeadlineExceeded;
         }
         problem.detail = std::to_string(coverage.missing.size()) + " shards are missing, the first for " + coverage.missing.front().reason;
@@ -212,7 +212,7 @@
     const auto found = this->runs.find(id);
     const Run run = std::move(found->second);
     this->runs.erase(found);
-    this->state.admission.left(run.call.service, run.terms.urgencyClass.priority);
+    this->state.admission.left(run.call.service, run.parameters.urgencyClass.priority);
     this->traces.push_back(FinishedTrace{.requestId = run.call.requestId,
         .service = run.call.service,
         .snapshot = run.view->key,
--- a/Libraries/LibEntry/QueryService.h
+++ b/Libraries/LibEntry/QueryService.h
@@ -62,7 +62,7 @@
 private:
     struct Run {
         QueryCall call;
-        RequestTerms terms;
+        RequestParameters parameters;
         AnswerHook done;
         std::shared_ptr<const BackendRequest> request;
         std::shared_ptr<const SnapshotView> view;
@@ -71,9 +71,9 @@
         int restarts{0};
     };
 
-    [[nodiscard]] std::optional<Problem> admit(const RequestTerms &terms, const SnapshotView &view) const;
+    [[nodiscard]] std::optional<Problem> admit(const RequestParameters &parameters, const SnapshotView &view) const;
     void fanOut(std::uint64_t id);
-    void takeOutcome(std::uint64_t id, FanOutOutcome outcome);
+    void handleOutcome(std::uint64_t id, FanOutOutcome outcome);
     [[nodiscard]] bool restartElsewhere(std::uint64_t id, const FanOutOutcome &outcome);
     void answer(std::uint64_t id, CallerAnswer answer, std::vector<TraceStep> steps);
     void count(const FanOutOutcome &outcome);
--- a/Libraries/LibEntry/RegistryRefresher.cpp
+++ b/Libraries/LibEntry/RegistryRefresher.cpp
@@ -48,12 +48,12 @@
     const std::weak_ptr<int> stillAlive = this->alive;
     this->probe(endpoint, [this, id = backend.id, stillAlive](const Core::Result<Protocol::Announcement> &announcement) {
         if (!stillAlive.expired()) {
-            this->takeAnswer(id, announcement);
+            this->handleAnswer(id, announcement);
         }
     });
 }
 
-void RegistryRefresher::takeAnswer(BackendId id, const Core::Result<Protocol::Announcement> &announcement)
+void RegistryRefresher::handleAnswer(BackendId id, const Core::Result<Protocol::Announcement> &announcement)
 {
     this->underWay.erase(id);
     if (!announcement.has_value()) {
@@ -66,7 +66,7 @@
     }
     const Core::Instant now = this->timers.now();
     if (this->table.announce(announcement.value(), Core::Duration(0), now) == AnnounceOutcome::Outdated) {
-        this->table.noteReply(id, announcement->incarnation, now);
+        this->table.recordReply(id, announcement->incarnation, now);
     }
 }
 
--- a/Libraries/LibEntry/RegistryRefresher.h
+++ b/Libraries/LibEntry/RegistryRefresher.h
@@ -45,7 +45,7 @@
     void run(Core::Instant now);
     [[nodiscard]] bool needsProbe(const Backend &backend, Core::Instant now) const;
     void ask(const Backend &backend);
-    void takeAnswer(BackendId id, const Core::Result<Protocol::Announcement> &announcement);
+    void handleAnswer(BackendId id, const Core::Result<Protocol::Announcement> &announcement);
 
     RegistryRefresherOptions options;
     BackendTable &table;
--- a/Libraries/LibEntry/ReplicaSelector.cpp
+++ b/Libraries/LibEntry/ReplicaSelector.cpp
@@ -21,25 +21,25 @@
 
 bool ReplicaSelector::hasRoom(const Backend &backend, int connectionShare)
 {
-    const double limit = backend.evidence.concurrencyLimit > 0.0 ? backend.evidence.concurrencyLimit : connectionShare;
-    return backend.evidence.inFlight < connectionShare && backend.evidence.inFlight < static_cast<int>(std::max(LowestLimit, limit));
+    const double limit = backend.health.concurrencyLimit > 0.0 ? backend.health.concurrencyLimit : connectionShare;
+    return backend.health.inFlight < connectionShare && backend.health.inFlight < static_cast<int>(std::max(LowestLimit, limit));
 }
 
 double ReplicaSelector::expectedMicroseconds(const Backend &backend, Core::Instant now) const
 {
-    const auto &evidence = backend.evidence;
-    const auto base = evidence.smoothedLatency > Core::Duration(0) ? evidence.smoothedLatency : this->options.assumedLatency;
+    const auto &health = backend.health;
+    const auto base = health.smoothedLatency > Core::Duration(0) ? health.smoothedLatency : this->options.assumedLatency;
     // A load report fades: half as old as its lifetime, half its weight.
     const double age = static_cast<double>((now - backend.announcedAt).count()) / static_cast<double>(this->options.reportLifetime.count());
     const double trust = std::clamp(1.0 - age, 0.0, 1.0) * this->options.reportedLoadWeight;
-    const double queued = evidence.inFlight + trust * backend.announcement.load;
+    const double queued = health.inFlight + trust * backend.announcement.load;
     const double slots = std::max(1, backend.announcement.slots);
     double expected = static_cast<double>(base.count()) * (1.0 + queued / slots);
     if (backend.announcement.zone != this->options.ownZone.value()) {
         expected += static_cast<double>(this->options.otherZonePenalty.count());
     }
-    const bool cold = evidence.servingSince == Core::Instant() || now - evidence.servingSince < this->options.slowStart;
-    return cold && evidence.replies < 20 ? expected * this->options.coldPenalty : expected;
+    const bool cold = health.servingSince == Core::Instant() || now - health.servingSince < this->options.slowStart;
+    return cold && health.replies < 20 ? expected * this->options.coldPenalty : expected;
 }
 
 std::optional<ReplicaChoice> ReplicaSelector::choose(
@@ -53,7 +53,7 @@
         if (isExcluded || !table.isUsable(backend, now) || !hasRoom(backend, connectionShare)) {
             continue;
         }
-        (now < backend.evidence.ejectedUntil ? ejected : healthy).push_back(id);
+        (now < backend.health.ejectedUntil ? ejected : healthy).push_back(id);
     }
     auto &candidates = healthy.empty() ? ejected : healthy;
     if (candidates.empty()) {
@@ -74,62 +74,62 @@
 
 void ReplicaSelector::noteSent(Backend &backend, int connectionShare, Core::Instant now) const
 {
-    auto &evidence = backend.evidence;
-    ++evidence.inFlight;
-    if (evidence.servingSince == Core::Instant()) {
-        evidence.servingSince = now;
-        evidence.concurrencyLimit = connectionShare;
+    auto &health = backend.health;
+    ++health.inFlight;
+    if (health.servingSince == Core::Instant()) {
+        health.servingSince = now;
+        health.concurrencyLimit = connectionShare;
     }
 }
 
 void ReplicaSelector::noteSuccess(Backend &backend, Core::Duration latency, int connectionShare) const
 {
-    auto &evidence = backend.evidence;
-    --evidence.inFlight;
-    ++evidence.replies;
-    evidence.consecutiveFailures = 0;
-    evidence.ejections = 0;
-    evidence.ejectedUntil = Core::Instant();
-    const auto old = static_cast<double>(evidence.smoothedLatency.count());
+    auto &health = backend.health;
+    --health.inFlight;
+    ++health.replies;
+    health.consecutiveFailures = 0;
+    health.ejections = 0;
+    health.ejectedUntil = Core::Instant();
+    const auto old = static_cast<double>(health.smoothedLatency.count());
     const auto fresh = static_cast<double>(latency.count());
     const double smoothed = old == 0.0 ? fresh : old + SmoothingWeight * (fresh - old);
-    evidence.smoothedLatency = Core::Duration(static_cast<Core::Duration::rep>(smoothed));
-    evidence.concurrencyLimit = std::min<double>(connectionShare, evidence.concurrencyLimit + 1.0 / std::max(1.0, evidence.concurrencyLimit));
+    health.smoothedLatency = Core::Duration(static_cast<Core::Duration::rep>(smoothed));
+    health.concurrencyLimit = std::min<double>(connectionShare, health.concurrencyLimit + 1.0 / std::max(1.0, health.concurrencyLimit));
 }
 
-void ReplicaSelector::noteFailure(Backend &backend, Core::Instant now) const
+void ReplicaSelector::recordFailure(Backend &backend, Core::Instant now) const
 {
-    auto &evidence = backend.evidence;
-    --evidence.inFlight;
-    ++evidence.failures;
-    ++evidence.consecutiveFailures;
-    if (evidence.consecutiveFailures < this->options.failuresToEject) {
+    auto &health = backend.health;
+    --health.inFlight;
+    ++health.failures;
+    ++health.consecutiveFailures;
+    if (health.consecutiveFailures < this->options.failuresToEject) {
         return;
     }
-    const auto doubled = this->options.firstEjection * (1LL << std::min(evidence.ejections, 10));
-    evidence.ejectedUntil = now + std::min<Core::Duration>(doubled, this->options.longestEjection);
-    ++evidence.ejections;
-    evidence.consecutiveFailures = 0;
+    const auto doubled = this->options.firstEjection * (1LL << std::min(health.ejections, 10));
+    health.ejectedUntil = now + std::min<Core::Duration>(doubled, this->options.longestEjection);
+    ++health.ejections;
+    health.consecutiveFailures = 0;
 }
 
 void ReplicaSelector::noteRefused(Backend &backend, bool full) const
 {
-    auto &evidence = backend.evidence;
-    --evidence.inFlight;
+    auto &health = backend.health;
+    --health.inFlight;
     if (full) {
-        evidence.concurrencyLimit = std::max(LowestLimit, evidence.concurrencyLimit * LimitDecrease);
+        health.concurrencyLimit = std::max(LowestLimit, health.concurrencyLimit * LimitDecrease);
     }
 }
 
 void ReplicaSelector::noteCancelled(Backend &backend, Core::Duration waited) const
 {
-    auto &evidence = backend.evidence;
-    --evidence.inFlight;
+    auto &health = backend.health;
+    --health.inFlight;
     // The wait is a lower bound of the latency, so it may raise the estimate but not lower it.
-    if (waited > evidence.smoothedLatency) {
+    if (waited > health.smoothedLatency) {
         const double raised
-            = static_cast<double>(evidence.smoothedLatency.count()) + SmoothingWeight * static_cast<double>((waited - evidence.smoothedLatency).count());
-        evidence.smoothedLatency = Core::Duration(static_cast<Core::Duration::rep>(raised));
+            = static_cast<double>(health.smoothedLatency.count()) + SmoothingWeight * static_cast<double>((waited - health.smoothedLatency).count());
+        health.smoothedLatency = Core::Duration(static_cast<Core::Duration::rep>(raised));
     }
 }
 
--- a/Libraries/LibEntry/ReplicaSelector.h
+++ b/Libraries/LibEntry/ReplicaSelector.h
@@ -65,7 +65,7 @@
     void noteSent(Backend &backend, int connectionShare, Core::Instant now) const;
     void noteSuccess(Backend &backend, Core::Duration latency, int connectionShare) const;
     /** A failure of the replica's own: no connection, no answer, a wrong answer. */
-    void noteFailure(Backend &backend, Core::Instant now) const;
+    void recordFailure(Backend &backend, Core::Instant now) const;
     /** The replica refused, which is an answer; when it is full, the limit on it shrinks. */
     void noteRefused(Backend &backend, bool full) const;
     /** The attempt was cancelled; what is known is that it took at least this long. */
--- a/Libraries/LibFleet/BackendRegistry.cpp
+++ b/Libraries/LibFleet/BackendRegistry.cpp
@@ -34,7 +34,7 @@
     return phase == BackendPhase::SILENT ? static_cast<int>(BackendPhase::READY) : static_cast<int>(phase);
 }
 
-// Of a farewell that did not say which life it ends.
+// Of a deregistration that did not say which life it ends.
 static bool isFarewellOfAnyLife(const BackendAnnouncement &announcement)
 {
     return announcement.born == 0 && announcement.phase == BackendPhase::GONE;
@@ -75,18 +75,18 @@
     if (!isNew && !isCurrent(record, announcement)) {
         return false;
     }
-    const bool isNewLife = !isNew && announcement.born > record.announcement.born;
-    if (isNewLife) {
+    const bool isNewIncarnation = !isNew && announcement.born > record.announcement.born;
+    if (isNewIncarnation) {
         // Nothing of the earlier life holds on but the place in the row of changes.
         record = BackendRecord{.announcement = {}, .farewellHoldsUntil = {}, .confirmBy = {}, .changedAt = record.changedAt};
     }
     const auto warmUntil = now + Core::milliseconds(announcement.warmupLeftMs);
     const bool turnedCold = warmUntil > std::max(now, record.warmUntil) + this->options.coldNews;
-    const bool news = isNew || isNewLife || turnedCold || differs(record.announcement, announcement);
+    const bool news = isNew || isNewIncarnation || turnedCold || differs(record.announcement, announcement);
     const bool knowsPlace = !announcement.address.empty();
     const auto sequence = std::max(record.announcement.sequence, announcement.sequence);
     const auto born = std::max(record.announcement.born, announcement.born);
-    if (isNew || isNewLife || knowsPlace) {
+    if (isNew || isNewIncarnation || knowsPlace) {
         record.announcement = announcement;
     }
     record.announcement.phase = announcement.phase;
@@ -96,7 +96,7 @@
         record.farewellHoldsUntil = now + this->options.farewellHold;
     }
     record.warmUntil = warmUntil;
-    record.lastHeard = now;
+    record.lastHeartbeat = now;
     record.lastMerged = now;
     record.confirmBy.reset();
     if (news) {
@@ -108,19 +108,19 @@
 bool BackendRegistry::markGone(const std::string &id, Core::Instant now, std::int64_t born)
 {
     // G3. One that is not known is remembered all the same, since its heartbeats may still be on their way.
-    BackendAnnouncement farewell;
-    farewell.id = id;
-    farewell.born = born;
-    farewell.phase = BackendPhase::GONE;
-    farewell.sequence = INT64_MAX;
-    return this->merge(farewell, now);
+    BackendAnnouncement deregistration;
+    deregistration.id = id;
+    deregistration.born = born;
+    deregistration.phase = BackendPhase::GONE;
+    deregistration.sequence = INT64_MAX;
+    return this->merge(deregistration, now);
 }
 
-void BackendRegistry::noteHeard(const std::string &id, Core::Instant now)
+void BackendRegistry::recordRemoteHeartbeat(const std::string &id, Core::Instant now)
 {
     const auto found = this->records.find(id);
     if (found != this->records.end()) {
-        found->second.lastHeard = now;
+        found->second.lastHeartbeat = now;
         found->second.confirmBy.reset();
     }
 }
@@ -167,7 +167,7 @@
     for (const auto &[id, record] : this->records) {
         const auto phase = record.announcement.phase;
         const bool expires = phase == BackendPhase::READY || phase == BackendPhase::DRAINING;
-        if (expires && now - record.lastHeard >= silence) {
+        if (expires && now - record.lastHeartbeat >= silence) {
             silent.push_back(record.announcement);
         }
     }
@@ -194,7 +194,7 @@
         return;
     }
     this->merge(announcement, now);
-    this->records.at(announcement.id).confirmBy = now + this->options.unconfirmedLife;
+    this->records.at(announcement.id).confirmBy = now + this->options.unconfirmedTimeout;
 }
 
 std::size_t BackendRegistry::expireUnconfirmed(Core::Instant now)
@@ -211,10 +211,10 @@
     return unconfirmed.size();
 }
 
-void BackendRegistry::excuseSilence(Core::Instant now)
+void BackendRegistry::restartHeartbeatTimeouts(Core::Instant now)
 {
     for (auto &[id, record] : this->records) {
-        record.lastHeard = now;
+        record.lastHeartbeat = now;
     }
 }
 
@@ -223,7 +223,7 @@
     std::erase_if(this->records, [this, now](const auto &item) {
         const auto &record = item.second;
         const bool over = record.announcement.phase == BackendPhase::GONE || record.announcement.phase == BackendPhase::SILENT;
-        const bool forgotten = over && now - record.lastHeard >= this->options.retention;
+        const bool forgotten = over && now - record.lastHeartbeat >= this->options.retention;
         if (forgotten) {
             this->byChange.erase(record.changedAt);
         }
@@ -249,7 +249,7 @@
     return changed;
 }
 
-std::vector<BackendAnnouncement> BackendRegistry::leaversSince(std::int64_t position, Core::Instant now) const
+std::vector<BackendAnnouncement> BackendRegistry::departuresSince(std::int64_t position, Core::Instant now) const
 {
     auto leavers = this->changedSince(position, now);
     std::erase_if(leavers, [](const BackendAnnouncement &announcement) {
@@ -258,7 +258,7 @@
     return leavers;
 }
 
-std::int64_t BackendRegistry::leaverPosition() const
+std::int64_t BackendRegistry::departurePosition() const
 {
     return this->latestLeaver;
 }
--- a/Libraries/LibFleet/BackendRegistry.h
+++ b/Libraries/LibFleet/BackendRegistry.h
@@ -28,10 +28,10 @@
     /** Until when it runs slowly after its start. */
     Core::Instant warmUntil;
     /** When a heartbeat of it was last known to have been made. */
-    Core::Instant lastHeard;
+    Core::Instant lastHeartbeat;
     /** When an announcement of it was last merged here. */
     Core::Instant lastMerged;
-    /** Set when only a farewell is known that did not say which life it ends: until when heartbeats may be late ones of that life. */
+    /** Set when only a deregistration is known that did not say which life it ends: until when heartbeats may be late ones of that life. */
     std::optional<Core::Instant> farewellHoldsUntil;
     /** Set while nothing but a coordinator's disk tells of it: until when a heartbeat has to come. */
     std::optional<Core::Instant> confirmBy;
@@ -47,10 +47,10 @@
      * A backend server that a coordinator read from its disk is taken for ready for this long without a heartbeat (HeartbeatTimes). Not longer than
      * it takes, since one that left unnoticed still gets work meanwhile.
      */
-    Core::Duration unconfirmedLife{Core::milliseconds(3500)};
+    Core::Duration unconfirmedTimeout{Core::milliseconds(3500)};
     /**
-     * For how long after the farewell of an unknown life heartbeats under its id are taken for late ones. Heartbeats come up to some seconds late;
-     * one that goes on for longer is of a life that started after the farewell.
+     * For how long after the deregistration of an unknown life heartbeats under its id are taken for late ones. Heartbeats come up to some seconds late;
+     * one that goes on for longer is of a life that started after the deregistration.
      */
     Core::Duration farewellHold{Core::seconds(10)};
     /**
@@ -82,7 +82,7 @@
     bool markGone(const std::string &id, Core::Instant now, std::int64_t born = 0);
 
     /** A heartbeat of this one reached another coordinator. */
-    void noteHeard(const std::string &id, Core::Instant now);
+    void recordRemoteHeartbeat(const std::string &id, Core::Instant now);
 
     /** Ids whose heartbeats were taken over by merge() after a time, whether or not they were news. */
     [[nodiscard]] std::vector<std::string> mergedSince(Core::Instant time) const;
@@ -97,7 +97,7 @@
     std::size_t expire(Core::Instant now, Core::Duration silence);
 
     /** Starts the count of silence anew for all, after this process itself was stopped for a while. */
-    void excuseSilence(Core::Instant now);
+    void restartHeartbeatTimeouts(Core::Instant now);
 
     /** Forgets records that are gone for longer than the retention. */
     void forget(Core::Instant now);
@@ -106,10 +106,10 @@
     /** Records that changed after a position. */
     [[nodiscard]] std::vector<Protocol::BackendAnnouncement> changedSince(std::int64_t position, Core::Instant now) const;
     /** Of these, only those that drain or are gone. */
-    [[nodiscard]] std::vector<Protocol::BackendAnnouncement> leaversSince(std::int64_t position, Core::Instant now) const;
+    [[nodiscard]] std::vector<Protocol::BackendAnnouncement> departuresSince(std::int64_t position, Core::Instant now) const;
     [[nodiscard]] std::int64_t position() const;
     /** Position of the latest change of one that drains or is gone. */
-    [[nodiscard]] std::int64_t leaverPosition() const;
+    [[nodiscard]] std::int64_t departurePosition() const;
     [[nodiscard]] std::size_t size() const;
 
     /** Called for each record that others have to know of, after it changed. */
--- a/Libraries/LibFleet/Declaration.h
+++ b/Libraries/LibFleet/Declaration.h
@@ -35,7 +35,7 @@
     /** How long a backend server of it is cold after a start, and again at times. */
     Core::Duration warmupTime{0};
     /** Requests a second that a cold one bears from all callers together; 0 where nothing is declared, and then nothing bounds them. */
-    double coldRequestsPerSecond{0.0};
+    double warmupRequestsPerSecond{0.0};
 };
 
 /** A service that gets a part of a route's requests. */
--- a/Libraries/LibFleet/FleetWatcher.cpp
+++ b/Libraries/LibFleet/FleetWatcher.cpp
@@ -45,7 +45,7 @@
     this->askChosen();
 }
 
-void FleetWatcher::wantConfirmation()
+void FleetWatcher::requestConfirmation()
 {
     this->wantsConfirmation = true;
     this->confirmedVersion.reset();
@@ -56,19 +56,19 @@
     return this->confirmedVersion.has_value() && this->held() >= this->confirmedVersion.value();
 }
 
-bool FleetWatcher::hasNews() const
+bool FleetWatcher::hasReceivedUpdate() const
 {
     return this->anyAnswer;
 }
 
-std::size_t FleetWatcher::inReach() const
+std::size_t FleetWatcher::reachableCount() const
 {
     return static_cast<std::size_t>(std::count_if(this->table.begin(), this->table.end(), [](const auto &item) {
         return item.second.reachable;
     }));
 }
 
-std::optional<Core::Instant> FleetWatcher::leaderKnownAt() const
+std::optional<Core::Instant> FleetWatcher::lastLeaderSync() const
 {
     return this->leaderKnown;
 }
@@ -84,7 +84,7 @@
 
 std::int64_t FleetWatcher::held() const
 {
-    return this->heldVersion ? this->heldVersion().value() : -1;
+    return this->knownVersion ? this->knownVersion().value() : -1;
 }
 
 int FleetWatcher::distanceOf(const Watched &watched) const
@@ -120,8 +120,8 @@
 std::vector<FleetWatcher::Watched *> FleetWatcher::chosen()
 {
     auto rows = this->ranked();
-    if (rows.size() > this->options.watchedAtOnce) {
-        rows.resize(this->options.watchedAtOnce);
+    if (rows.size() > this->options.maximumWatched) {
+        rows.resize(this->options.maximumWatched);
     }
     return rows;
 }
@@ -142,7 +142,7 @@
     if (rows.front() == &watched) {
         return RegistryInterest::EVERYTHING;
     }
-    const auto end = rows.begin() + static_cast<std::ptrdiff_t>(std::min(rows.size(), this->options.watchedAtOnce));
+    const auto end = rows.begin() + static_cast<std::ptrdiff_t>(std::min(rows.size(), this->options.maximumWatched));
     return std::find(rows.begin(), end, &watched) != end ? RegistryInterest::LEAVERS : RegistryInterest::NOTHING;
 }
 
@@ -175,7 +175,7 @@
         request.cursor = 0;
         request.gatewayCursor = 0;
     }
-    const bool overdue = this->newestKnown > this->held() && this->timers.now() - this->newestKnownSince >= this->options.declarationPatience;
+    const bool overdue = this->newestKnown > this->held() && this->timers.now() - this->newestKnownSince >= this->options.declarationFallbackDelay;
     request.wantsDeclaration = this->options.wantsOrders && (wantsEverything || overdue);
     request.declarationVersion = request.wantsDeclaration ? this->heldTextVersion : std::max(this->held(), this->newestKnown);
     request.evacuationRevision = this->evacuated.revision;
@@ -183,7 +183,7 @@
         request.declarationVersion = INT64_MAX;
         request.evacuationRevision = INT64_MAX;
     }
-    const auto own = this->presence ? this->presence() : std::nullopt;
+    const auto own = this->ownAnnouncement ? this->ownAnnouncement() : std::nullopt;
     if (own.has_value()) {
         request.__set_gateway(own.value());
     }
@@ -198,7 +198,7 @@
     watched.asking = true;
     const auto endpoint = watched.endpoint;
     if (!watched.channel) {
-        watched.channel = Rpc::RpcChannel::create({.endpoint = endpoint, .callTimeout = this->options.answerTimeout, .limits = {}}, this->timers);
+        watched.channel = Rpc::RpcChannel::create({.endpoint = endpoint, .callTimeout = this->options.responseTimeout, .limits = {}}, this->timers);
     }
     const auto request = this->makeRequest(watched);
     watched.askedInterest = request.registryInterest;
@@ -216,7 +216,7 @@
         [this, weak, endpoint, request, number = watched.question](const Core::Result<Protocol::WatchReply> &answer) {
             const bool isWanted = !weak.expired() && this->table.contains(endpoint) && this->table.at(endpoint).question == number;
             if (isWanted) {
-                this->takeOutcome(endpoint, answer, request);
+                this->handleOutcome(endpoint, answer, request);
             }
         });
 }
@@ -249,18 +249,18 @@
     });
 }
 
-void FleetWatcher::takeOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &answer, const Protocol::WatchRequest &request)
+void FleetWatcher::handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &answer, const Protocol::WatchRequest &request)
 {
     auto &watched = this->table.at(endpoint);
     watched.asking = false;
     if (answer.has_value()) {
-        this->takeAnswer(watched, answer.value(), request);
+        this->handleAnswer(watched, answer.value(), request);
     } else {
         this->failed(watched, watched.channel->lastFailure());
     }
 }
 
-void FleetWatcher::takeAnswer(Watched &watched, const Protocol::WatchReply &answer, const Protocol::WatchRequest &request)
+void FleetWatcher::handleAnswer(Watched &watched, const Protocol::WatchReply &answer, const Protocol::WatchRequest &request)
 {
     using Protocol::RegistryInterest;
     const auto endpoint = watched.endpoint;
@@ -269,9 +269,9 @@
     if (!std::exchange(watched.reachable, true)) {
         Core::logEvent(Core::LogLevel::Information, "coordinator.reached", {{"coordinator", endpoint.toString()}});
     }
-    const bool sameLife = watched.incarnation == answer.coordinatorIncarnation;
+    const bool isSameIncarnation = watched.incarnation == answer.coordinatorIncarnation;
     const bool skipped = request.registryInterest == RegistryInterest::LEAVERS;
-    watched.toldEverything = request.registryInterest == RegistryInterest::EVERYTHING || (sameLife && watched.toldEverything && !skipped);
+    watched.toldEverything = request.registryInterest == RegistryInterest::EVERYTHING || (isSameIncarnation && watched.toldEverything && !skipped);
     this->takeNews(watched, answer, request.declarationVersion);
     if (answer.hasLeader && request.registryInterest == RegistryInterest::EVERYTHING) {
         this->leaderKnown = std::max(this->leaderKnown, std::optional(watched.askedAt));
@@ -285,7 +285,7 @@
     //       declaration without its text is asked after a pause, to want the text from it if it has not come from the first one by then. But a
     //       confirmation is not to wait for that, since nothing is answered before there is one.
     const bool textMissing = this->options.wantsOrders && this->newestKnown > this->held() && !this->wantsConfirmation;
-    this->askLater(endpoint, textMissing ? this->options.declarationPatience : Core::Duration(0));
+    this->askLater(endpoint, textMissing ? this->options.declarationFallbackDelay : Core::Duration(0));
     this->askChosen();
 }
 
@@ -304,15 +304,15 @@
         this->gateways.merge(announcement, now);
     }
     for (const auto &id : reply.heard) {
-        this->backends.noteHeard(id, now);
-        this->gateways.noteHeard(id, now);
+        this->backends.recordRemoteHeartbeat(id, now);
+        this->gateways.recordRemoteHeartbeat(id, now);
     }
     if (reply.declarationVersion > this->newestKnown) {
         this->newestKnown = reply.declarationVersion;
         this->newestKnownSince = now;
     }
-    this->takeEvacuations(reply);
-    this->takeDeclaration(reply, askedFrom);
+    this->applyEvacuations(reply);
+    this->applyDeclaration(reply, askedFrom);
     for (const auto &place : reply.coordinators) {
         const auto endpoint = Core::Endpoint::parse(place.address);
         if (endpoint.has_value() && endpoint.value() != this->options.own) {
@@ -327,18 +327,18 @@
 }
 
 // They come whole with each answer to a question that named an older revision, so whoever was confirmed to be current holds them.
-void FleetWatcher::takeEvacuations(const Protocol::WatchReply &reply)
+void FleetWatcher::applyEvacuations(const Protocol::WatchReply &reply)
 {
     if (!reply.__isset.evacuations || reply.evacuations.revision <= this->evacuated.revision) {
         return;
     }
     this->evacuated = reply.evacuations;
-    if (this->evacuationsArrived) {
-        this->evacuationsArrived(this->evacuated);
+    if (this->evacuationsChanged) {
+        this->evacuationsChanged(this->evacuated);
     }
 }
 
-void FleetWatcher::takeDeclaration(const Protocol::WatchReply &reply, std::int64_t askedFrom)
+void FleetWatcher::applyDeclaration(const Protocol::WatchReply &reply, std::int64_t askedFrom)
 {
     const bool carries = reply.__isset.declaration || reply.__isset.declarationDelta;
     if (!carries || reply.declarationVersion <= this->heldTextVersion) {
@@ -358,8 +358,8 @@
     }
     this->heldText = std::move(text.value());
     this->heldTextVersion = reply.declarationVersion;
-    if (this->declarationArrived) {
-        this->declarationArrived(DeclarationVersion(reply.declarationVersion), this->heldText);
+    if (this->declarationReceived) {
+        this->declarationReceived(DeclarationVersion(reply.declarationVersion), this->heldText);
     }
 }
 
@@ -370,8 +370,8 @@
     if (std::exchange(watched.reachable, false)) {
         Core::logEvent(Core::LogLevel::Warning, "coordinator.lost", {{"coordinator", endpoint.toString()}, {"reason", reason}});
     }
-    const bool othersAnswer = this->inReach() > 0;
-    if (othersAnswer && this->timers.now() - watched.lastAnswer >= this->options.giveUpAfter) {
+    const bool othersAnswer = this->reachableCount() > 0;
+    if (othersAnswer && this->timers.now() - watched.lastAnswer >= this->options.removalTimeout) {
         // One that comes back is named again by the others.
         Core::logEvent(Core::LogLevel::Information, "coordinator.given_up", {{"coordinator", endpoint.toString()}});
         this->table.erase(endpoint);
--- a/Libraries/LibFleet/FleetWatcher.h
+++ b/Libraries/LibFleet/FleetWatcher.h
@@ -30,26 +30,26 @@
     /** Never watched: the watcher itself. */
     Core::Endpoint own;
     /** How many coordinators are watched at once; any more are known, but asked only when these fail. */
-    std::size_t watchedAtOnce{2};
+    std::size_t maximumWatched{2};
     /** Whether operators' orders are wanted, and whose heartbeats coordinators heard. */
     bool wantsOrders{true};
     bool wantsHeard{false};
     /**
      * A coordinator that does not answer for this long is asked over a new connection. Longer than coordinators
-     * hold a question (CoordinatorOptions::watchHold), and short enough that a healed network is used within three seconds.
+     * hold a question (CoordinatorOptions::longPollTimeout), and short enough that a healed network is used within three seconds.
      */
-    Core::Duration answerTimeout{Core::milliseconds(2800)};
+    Core::Duration responseTimeout{Core::milliseconds(2800)};
     /** Pause after a failed question. */
     Core::Duration retryPause{Core::milliseconds(200)};
     /** A declaration that the first coordinator has not sent after this long is wanted of the others, too. */
-    Core::Duration declarationPatience{Core::milliseconds(300)};
+    Core::Duration declarationFallbackDelay{Core::milliseconds(300)};
     /**
      * A fresh watcher waits this long for near coordinators before it takes the registry from far ones, whose bytes are dear: they
      * answer a connection within a round trip once they listen, and a first packet that is lost is tried again after 0.3 s.
      */
     Core::Duration nearPatience{Core::milliseconds(500)};
     /** One that is no longer named by others is given up after this long without an answer. */
-    Core::Duration giveUpAfter{Core::seconds(20)};
+    Core::Duration removalTimeout{Core::seconds(20)};
 };
 
 /** Declarations are taken as bytes; whoever reads them decides whether they are used. */
@@ -64,29 +64,29 @@
     void addCoordinators(const std::vector<Core::Endpoint> &endpoints);
 
     /** Asks from now on for an answer that is confirmed to be current, until one came. */
-    void wantConfirmation();
+    void requestConfirmation();
 
     /** Whether what is held was confirmed to be the newest after the confirmation was wanted. */
     [[nodiscard]] bool isConfirmed() const;
     /** Coordinators that answered lately. */
-    [[nodiscard]] std::size_t inReach() const;
+    [[nodiscard]] std::size_t reachableCount() const;
     [[nodiscard]] std::vector<Core::Endpoint> coordinators() const;
     /** When the latest question was asked that a coordinator answered which hears from a leader and tells everything: what is known here is newer. */
-    [[nodiscard]] std::optional<Core::Instant> leaderKnownAt() const;
+    [[nodiscard]] std::optional<Core::Instant> lastLeaderSync() const;
     /** Whether any coordinator has answered yet. */
-    [[nodiscard]] bool hasNews() const;
+    [[nodiscard]] bool hasReceivedUpdate() const;
 
     /** The version that is held already; asked before each question. */
-    std::function<DeclarationVersion()> heldVersion;
+    std::function<DeclarationVersion()> knownVersion;
     /** What the watcher says of itself, when it is a gateway that takes requests. */
-    std::function<std::optional<Protocol::BackendAnnouncement>()> presence;
+    std::function<std::optional<Protocol::BackendAnnouncement>()> ownAnnouncement;
     /** The evacuated zones as far as this watcher knows. */
     [[nodiscard]] const Protocol::Evacuations &evacuations() const;
 
     /** The evacuated zones changed. */
-    std::function<void(const Protocol::Evacuations &evacuations)> evacuationsArrived;
+    std::function<void(const Protocol::Evacuations &evacuations)> evacuationsChanged;
     /** A newer declaration came. */
-    std::function<void(DeclarationVersion version, const std::string &content)> declarationArrived;
+    std::function<void(DeclarationVersion version, const std::string &content)> declarationReceived;
 
 private:
     static constexpr std::uint64_t NoQuestion = 0;
@@ -126,13 +126,13 @@
     [[nodiscard]] int distanceOf(const Watched &watched) const;
     void ask(Watched &watched);
     static void dropQuestion(Watched &watched);
-    void takeOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &answer, const Protocol::WatchRequest &request);
+    void handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &answer, const Protocol::WatchRequest &request);
     void askLater(const Core::Endpoint &endpoint, Core::Duration pause);
     [[nodiscard]] Protocol::WatchRequest makeRequest(Watched &watched);
-    void takeAnswer(Watched &watched, const Protocol::WatchReply &answer, const Protocol::WatchRequest &request);
+    void handleAnswer(Watched &watched, const Protocol::WatchReply &answer, const Protocol::WatchRequest &request);
     void takeNews(Watched &watched, const Protocol::WatchReply &reply, std::int64_t askedFrom);
-    void takeEvacuations(const Protocol::WatchReply &reply);
-    void takeDeclaration(const Protocol::WatchReply &reply, std::int64_t askedFrom);
+    void applyEvacuations(const Protocol::WatchReply &reply);
+    void applyDeclaration(const Protocol::WatchReply &reply, std::int64_t askedFrom);
     void failed(Watched &watched, const std::string &reason);
     [[nodiscard]] std::int64_t held() const;
 
--- a/Libraries/LibFleet/HeartbeatTimes.h
+++ b/Libraries/LibFleet/HeartbeatTimes.h
@@ -23,7 +23,7 @@
     static constexpr Core::Duration LeastSilence = Core::seconds(20);
 
     /** A coordinator that has just started takes a backend server on its disk for ready for this long without a heartbeat. */
-    Core::Duration unconfirmedLife{0};
+    Core::Duration unconfirmedTimeout{0};
     /** A backend server without a heartbeat for this long is taken for gone. */
     Core::Duration silence{0};
     /** Within this time after its first news a gateway knows every backend server that calls. */
@@ -31,7 +31,7 @@
 
     [[nodiscard]] static HeartbeatTimes of(Core::Duration period)
     {
-        return {.unconfirmedLife = period + Lateness,
+        return {.unconfirmedTimeout = period + Lateness,
             .silence = std::max(LeastSilence, MissedInSilence * period),
             // Two periods, and the way from a coordinator.
             .allHeard = 2 * period + Core::milliseconds(200)};
--- a/Libraries/LibGateway/Backend.h
+++ b/Libraries/LibGateway/Backend.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include <LibFleet/BackendRegistry.h>
-#include <LibGateway/BackendEvidence.h>
+#include <LibGateway/BackendHealth.h>
 #include <LibGateway/ConnectionAllowance.h>
 #include <LibGateway/Dialect.h>
 #include <LibGateway/KeptConnections.h>
@@ -68,9 +68,9 @@
     Protocol::BackendPhase::type phase{Protocol::BackendPhase::READY};
     Core::Instant warmUntil;
 
-    BackendEvidence evidence;
+    BackendHealth health;
     std::optional<Core::Duration> roundTrip;
-    TurnedAwayPause turnedAway;
+    RejectionBackoff connectionRejected;
 
     KeptConnections connections;
     // Invariant: exactly the attempts of the pool that name this backend.
--- a/Libraries/LibGateway/BackendChoice.cpp
+++ b/Libraries/LibGateway/BackendChoice.cpp
@@ -21,7 +21,7 @@
 static constexpr double StuckPenaltyMilliseconds = 300.0;
 static constexpr double AvoidedPenaltyMilliseconds = 10'000.0;
 // A cold backend server takes about this much longer.
-static constexpr double ColdFactor = 1.6;
+static constexpr double WarmupLatencyFactor = 1.6;
 // Backend servers whose expected times differ by less are equally good; about half a round trip between regions.
 static constexpr double EquallyGoodMilliseconds = 10.0;
 // Expected times differ by up to this share at random, so that gateways don't all choose the same one.
@@ -36,7 +36,7 @@
     return std::any_of(backend.inFlight.begin(), backend.inFlight.end(), [&backend, now](const Attempt *attempt) {
         const auto limit = std::max(StuckFloor, StuckFactor * attempt->typicalLatency);
         // A reply that came later than the attempt began shows that the server works, if slowly on this one.
-        return now - std::max(attempt->startedAt, backend.evidence.lastReply()) >= limit;
+        return now - std::max(attempt->startedAt, backend.health.lastReply()) >= limit;
     });
 }
 
@@ -47,22 +47,22 @@
 
 double BackendChoice::expectedMilliseconds(const Backend &backend, Core::Duration typicalLatency, Core::Instant now) const
 {
-    double expected = milliseconds(typicalLatency) * backend.evidence.expectedFactor(backend.inFlight.size(), backend.slots, now);
+    double expected = milliseconds(typicalLatency) * backend.health.expectedFactor(backend.inFlight.size(), backend.slots, now);
     if (now < backend.warmUntil) {
-        expected *= ColdFactor;
+        expected *= WarmupLatencyFactor;
     }
     if (!backend.sameRegion) {
         expected += milliseconds(backend.roundTrip.value_or(this->options.assumedRegionRoundTrip));
     }
     expected += isStuck(backend, now) ? StuckPenaltyMilliseconds : 0.0;
-    expected += backend.evidence.isAvoided(now) ? AvoidedPenaltyMilliseconds : 0.0;
+    expected += backend.health.isAvoided(now) ? AvoidedPenaltyMilliseconds : 0.0;
     return expected;
 }
 
 // What goes into the choice besides the expected time.
 double BackendChoice::biasMilliseconds(const Backend &backend, Core::Instant now) const
 {
-    double bias = TroublePenaltyMilliseconds * backend.evidence.troubleRate(now);
+    double bias = TroublePenaltyMilliseconds * backend.health.failureRate(now);
     if (!backend.sameRegion) {
         bias += milliseconds(this->options.crossRegionBias);
     } else if (!backend.sameZone) {
--- a/Libraries/LibGateway/BackendEvidence.cpp
+++ b/Libraries/LibGateway/BackendHealth.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibGateway/BackendEvidence.h>
+#include <LibGateway/BackendHealth.h>
 
 #include <algorithm>
 #include <cmath>
@@ -34,34 +34,34 @@
     return value * std::exp2(-Core::toFractionalMilliseconds(age) / 1000.0 / halfLifeSeconds);
 }
 
-double BackendEvidence::slownessAt(Core::Instant now) const
+double BackendHealth::slownessAt(Core::Instant now) const
 {
     return 1.0 + faded(this->slowness - 1.0, now - this->slownessTime, SlownessHalfLifeSeconds);
 }
 
-// A machine's own word for its pace goes before latencies: it takes one reply where those take three or more, and a pause of the server or a queue is
+// A machine's own word for its slowdown goes before latencies: it takes one reply where those take three or more, and a pause of the server or a queue is
 // no slowness in it. Buys 0.014 +- 0.002 of the worth where servers tell it (six pairs of days, all better); the greater of the two is no better than
 // that (0.009 +- 0.006). It fades as slowness does, so that one that recovered is asked again.
-double BackendEvidence::paceAt(Core::Instant now) const
+double BackendHealth::paceAt(Core::Instant now) const
 {
-    if (!this->pace.has_value()) {
+    if (!this->slowdown.has_value()) {
         return this->slownessAt(now);
     }
-    return 1.0 + faded(this->pace.value() - 1.0, now - this->paceTime, SlownessHalfLifeSeconds);
+    return 1.0 + faded(this->slowdown.value() - 1.0, now - this->paceTime, SlownessHalfLifeSeconds);
 }
 
-double BackendEvidence::troubleRate(Core::Instant now) const
+double BackendHealth::failureRate(Core::Instant now) const
 {
     return faded(this->trouble, now - this->troubleTime, TroubleHalfLifeSeconds);
 }
 
-void BackendEvidence::noteOutcome(bool isTrouble, Core::Instant now)
+void BackendHealth::noteOutcome(bool isTrouble, Core::Instant now)
 {
-    this->trouble = (1.0 - TroubleWeight) * this->troubleRate(now) + (isTrouble ? TroubleWeight : 0.0);
+    this->trouble = (1.0 - TroubleWeight) * this->failureRate(now) + (isTrouble ? TroubleWeight : 0.0);
     this->troubleTime = now;
 }
 
-void BackendEvidence::noteAnswer(double ratio, Core::Instant now)
+void BackendHealth::recordAnswer(double ratio, Core::Instant now)
 {
     this->failures = 0;
     this->avoidEnd = now;
@@ -69,32 +69,32 @@
     this->noteAnswerElsewhere(ratio, now);
 }
 
-void BackendEvidence::noteAnswerElsewhere(double ratio, Core::Instant now)
+void BackendHealth::noteAnswerElsewhere(double ratio, Core::Instant now)
 {
     this->slowness = (1.0 - SlownessWeight) * this->slownessAt(now) + SlownessWeight * std::clamp(ratio, SlownessFloor, SlownessCeiling);
     this->slownessTime = now;
 }
 
-void BackendEvidence::noteRefusal(Core::Instant now)
+void BackendHealth::recordRefusal(Core::Instant now)
 {
     this->noteOutcome(true, now);
 }
 
-bool BackendEvidence::noteFailure(int failuresUntilAvoided, Core::Instant now)
+bool BackendHealth::recordFailure(int failuresUntilAvoided, Core::Instant now)
 {
     this->noteOutcome(true, now);
     ++this->failures;
     return this->failures >= failuresUntilAvoided && this->avoid(this->failures - failuresUntilAvoided, now);
 }
 
-bool BackendEvidence::noteSilence(Core::Instant now)
+bool BackendHealth::recordSilence(Core::Instant now)
 {
     this->noteOutcome(true, now);
     ++this->failures;
     return this->avoid(this->failures - 1, now);
 }
 
-bool BackendEvidence::avoid(int doublings, Core::Instant now)
+bool BackendHealth::avoid(int doublings, Core::Instant now)
 {
     const bool isNew = !this->isAvoided(now);
     const auto duration = std::min(FirstAvoidance * (1 << std::clamp(doublings, 0, MostDoublings)), LongestAvoidance);
@@ -102,18 +102,18 @@
     return isNew;
 }
 
-void BackendEvidence::noteReply(const std::optional<LoadReport> &report, Core::Instant now)
+void BackendHealth::recordReply(const std::optional<LoadReport> &report, Core::Instant now)
 {
     this->replyTime = now;
     if (report.has_value()) {
         this->load = report.value();
         this->loadTime = now;
-        this->pace = report->pace;
+        this->slowdown = report->slowdown;
         this->paceTime = now;
     }
 }
 
-double BackendEvidence::expectedFactor(std::size_t own, int slots, Core::Instant now) const
+double BackendHealth::expectedFactor(std::size_t own, int slots, Core::Instant now) const
 {
     const double age = Core::toFractionalMilliseconds(now - this->loadTime);
     const double freshness = std::max(0.0, 1.0 - age / Core::toFractionalMilliseconds(LoadReportLife));
@@ -122,22 +122,22 @@
     return this->paceAt(now) * (1.0 + queueing);
 }
 
-bool BackendEvidence::isAvoided(Core::Instant now) const
+bool BackendHealth::isAvoided(Core::Instant now) const
 {
     return now < this->avoidEnd;
 }
 
-Core::Instant BackendEvidence::avoidedUntil() const
+Core::Instant BackendHealth::avoidedUntil() const
 {
     return this->avoidEnd;
 }
 
-Core::Instant BackendEvidence::lastReply() const
+Core::Instant BackendHealth::lastReply() const
 {
     return this->replyTime;
 }
 
-int BackendEvidence::consecutiveFailures() const
+int BackendHealth::consecutiveFailures() const
 {
     return this->failures;
 }
--- a/Libraries/LibGateway/BackendPool.cpp
+++ b/Libraries/LibGateway/BackendPool.cpp
@@ -50,7 +50,7 @@
 {
     auto &service = this->services[name];
     if (!service.budget) {
-        service.budget = std::make_unique<RepeatBudget>(this->options.budget);
+        service.budget = std::make_unique<RetryBudget>(this->options.budget);
     }
     return service;
 }
@@ -59,8 +59,8 @@
 {
     const auto &announcement = record.announcement;
     const auto found = this->backends.find(announcement.id);
-    const bool isNewLife = found != this->backends.end() && announcement.born > found->second->born;
-    if (isNewLife) {
+    const bool isNewIncarnation = found != this->backends.end() && announcement.born > found->second->born;
+    if (isNewIncarnation) {
         this->retire(std::move(found->second));
         this->backends.erase(found);
     } else if (found != this->backends.end()) {
@@ -129,7 +129,7 @@
         auto &row = this->serviceOf(name);
         row.connectionCap = declared.connectionCap;
         row.warmupTime = declared.warmupTime;
-        row.coldRequestsPerSecond = declared.coldRequestsPerSecond;
+        row.warmupRequestsPerSecond = declared.warmupRequestsPerSecond;
     }
 }
 
@@ -143,19 +143,19 @@
     return this->gateways.all;
 }
 
-void BackendPool::noteRequest(const Core::ServiceName &service)
+void BackendPool::recordRequest(const Core::ServiceName &service)
 {
-    this->serviceOf(service).budget->noteRequest(this->timers.now());
+    this->serviceOf(service).budget->recordRequest(this->timers.now());
 }
 
-bool BackendPool::takeRepeat(const Core::ServiceName &service)
+bool BackendPool::consumeRetry(const Core::ServiceName &service)
 {
     auto &row = this->serviceOf(service);
     const double share = this->slackShare ? this->slackShare(service, row.zones) : 1.0 / this->gateways.all;
-    return row.budget->takeRepeat(this->timers.now(), share);
+    return row.budget->consumeRetry(this->timers.now(), share);
 }
 
-bool BackendPool::knowsReady(const Core::ServiceName &service) const
+bool BackendPool::hasReady(const Core::ServiceName &service) const
 {
     const auto found = this->services.find(service);
     return found != this->services.end() && std::any_of(found->second.backends.begin(), found->second.backends.end(), [](const Backend *backend) {
@@ -207,7 +207,7 @@
     for (auto *backend : found->second.backends) {
         // NOTE: Which one of several in that zone was asked is not told, so it counts for all of them.
         if (backend->zone == zone) {
-            backend->evidence.noteAnswerElsewhere(ratio, this->timers.now());
+            backend->health.noteAnswerElsewhere(ratio, this->timers.now());
         }
     }
 }
@@ -259,7 +259,7 @@
     if (!this->bearsMore(backend, service)) {
         return false;
     }
-    const bool takesMore = backend.turnedAway.isOver(this->timers.now());
+    const bool takesMore = backend.connectionRejected.isOver(this->timers.now());
     const auto limit = this->connectionLimit(backend, service);
     if (takesMore && backend.connections.size() < limit) {
         return true;
@@ -292,11 +292,11 @@
 bool BackendPool::bearsMore(const Backend &backend, const Service &service) const
 {
     const auto now = this->timers.now();
-    const bool isBounded = service.coldRequestsPerSecond > 0.0 && now < backend.warmUntil;
+    const bool isBounded = service.warmupRequestsPerSecond > 0.0 && now < backend.warmUntil;
     if (!isBounded) {
         return true;
     }
-    const int total = this->coldAllowance.total(service.coldRequestsPerSecond);
+    const int total = this->coldAllowance.total(service.warmupRequestsPerSecond);
     const int share = this->coldShare ? this->coldShare(backend.service, backend.zone, total) : 0;
     return this->coldAllowance.isWithin(backend.name, share, now);
 }
@@ -304,7 +304,7 @@
 void BackendPool::assumeCold(Backend &backend)
 {
     const auto &service = this->serviceOf(backend.service);
-    if (service.coldRequestsPerSecond > 0.0) {
+    if (service.warmupRequestsPerSecond > 0.0) {
         backend.warmUntil = std::max(backend.warmUntil, this->timers.now() + service.warmupTime);
     }
 }
@@ -343,7 +343,7 @@
         auto &backend = *found->second;
         const auto &row = this->serviceOf(backend.service);
         const bool takesWork = this->isEligible(backend, wanted.allowedRegions) && this->hasRoom(backend, row, wanted.request);
-        if (takesWork && !backend.evidence.isAvoided(now) && !BackendChoice::isStuck(backend, now)) {
+        if (takesWork && !backend.health.isAvoided(now) && !BackendChoice::isStuck(backend, now)) {
             return &backend;
         }
     }
@@ -360,7 +360,7 @@
     // Its own where one is known, else that of the nearest one of its service.
     const auto nearest = this->roundTripTo(backend.service);
     const auto roundTrip = backend.roundTrip.value_or(backend.sameRegion ? std::min(nearest, NearRoundTrip) : nearest);
-    return std::min(this->options.connectPatience, Wire::acknowledgementLimit(roundTrip));
+    return std::min(this->options.connectTimeout, Wire::acknowledgementLimit(roundTrip));
 }
 
 std::optional<Core::Duration> BackendPool::trialMargin(bool keptApart) const
@@ -375,7 +375,7 @@
 ConnectionPointer BackendPool::openConnection(Backend &backend, bool keptApart)
 {
     auto opened = Wire::ClientConnection::create({.endpoint = backend.endpoint,
-                                                     .silenceLimit = this->options.silenceLimit,
+                                                     .acknowledgementTimeout = this->options.acknowledgementTimeout,
                                                      .connectLimit = this->connectLimit(backend),
                                                      .trialMargin = this->trialMargin(keptApart),
                                                      .limits = {}},
@@ -475,7 +475,7 @@
     if (answered == expected || unnamedRefusal) {
         return true;
     }
-    ++this->counts.passedOver;
+    ++this->counts.discarded;
     Core::logEvent(Core::LogLevel::Information,
         "answer.passed_over",
         {{"request", expected.value()}, {"answers", answered.value()}, {"backend", backend.value()}, {"status", response.status}});
@@ -505,21 +505,21 @@
     case Wire::ClientEnd::NotSent:
         outcome.end = AttemptEnd::NotSent;
         break;
-    case Wire::ClientEnd::TurnedAway:
+    case Wire::ClientEnd::ConnectionRejected:
         outcome.end = AttemptEnd::NotSent;
-        this->noteTurnedAway(backend);
+        this->recordRejection(backend);
         break;
     case Wire::ClientEnd::Broken:
         outcome.end = AttemptEnd::Broken;
         if (attempt.connection->answered() == 0) {
-            this->trialPeriod.noteReset(this->timers.now());
+            this->trialPeriod.recordReset(this->timers.now());
         }
         break;
     case Wire::ClientEnd::Unacknowledged:
         outcome.end = AttemptEnd::Unacknowledged;
         break;
     }
-    if (result.end != Wire::ClientEnd::TurnedAway) {
+    if (result.end != Wire::ClientEnd::ConnectionRejected) {
         this->learn(backend, attempt, outcome);
     }
     if (result.end == Wire::ClientEnd::Answered && attempt.connection->answered() == 1) {
@@ -541,15 +541,15 @@
         // It may have started again, and answer the next request before it has said that it is cold.
         this->assumeCold(backend);
         if (outcome.end == AttemptEnd::Unacknowledged) {
-            this->noteSilence(backend, outcome.reason);
+            this->recordSilence(backend, outcome.reason);
         } else {
-            this->noteFailure(backend, outcome.reason);
+            this->recordFailure(backend, outcome.reason);
         }
         return;
     }
     const auto &reply = outcome.reply;
-    backend.evidence.noteReply(reply.load, now);
-    backend.turnedAway.noteReply();
+    backend.health.recordReply(reply.load, now);
+    backend.connectionRejected.recordReply();
     if (attempt.connection->connectTime() > Core::Duration(0)) {
         const auto measured = attempt.connection->connectTime();
         backend.roundTrip = std::min(backend.roundTrip.value_or(measured), measured);
@@ -562,36 +562,36 @@
     }
     if (reply.notExecuted) {
         ++this->counts.notExecuted;
-        backend.evidence.noteRefusal(now);
+        backend.health.recordRefusal(now);
         return;
     }
     if (reply.message.status >= 500) {
-        this->noteFailure(backend, "status " + std::to_string(reply.message.status));
+        this->recordFailure(backend, "status " + std::to_string(reply.message.status));
         return;
     }
     const double usual = std::max(1.0, Core::toFractionalMilliseconds(attempt.typicalLatency));
     const auto way = backend.sameRegion ? Core::Duration(0) : backend.roundTrip.value_or(Core::Duration(0));
-    backend.evidence.noteAnswer(Core::toFractionalMilliseconds(now - attempt.startedAt - way) / usual, now);
+    backend.health.recordAnswer(Core::toFractionalMilliseconds(now - attempt.startedAt - way) / usual, now);
 }
 
 // It has as many connections as it takes, from here and from elsewhere, which says nothing of how it works.
-void BackendPool::noteTurnedAway(Backend &backend)
+void BackendPool::recordRejection(Backend &backend)
 {
-    ++this->counts.turnedAway;
-    this->trialPeriod.noteReset(this->timers.now());
-    backend.turnedAway.noteTurnedAway(this->options.turnedAway, this->timers.now());
+    ++this->counts.connectionRejected;
+    this->trialPeriod.recordReset(this->timers.now());
+    backend.connectionRejected.recordRejection(this->options.connectionRejected, this->timers.now());
 }
 
-void BackendPool::noteFailure(Backend &backend, const std::string &reason)
+void BackendPool::recordFailure(Backend &backend, const std::string &reason)
 {
-    if (backend.evidence.noteFailure(this->options.failuresUntilAvoided, this->timers.now())) {
+    if (backend.health.recordFailure(this->options.failuresUntilAvoided, this->timers.now())) {
         this->logAvoidance(backend, reason);
     }
 }
 
-void BackendPool::noteSilence(Backend &backend, const std::string &reason)
+void BackendPool::recordSilence(Backend &backend, const std::string &reason)
 {
-    if (backend.evidence.noteSilence(this->timers.now())) {
+    if (backend.health.recordSilence(this->timers.now())) {
         this->logAvoidance(backend, reason);
     }
 }
@@ -602,8 +602,8 @@
         "backend.avoided",
         {{"backend", backend.name.value()},
             {"service", backend.service.value()},
-            {"failures", backend.evidence.consecutiveFailures()},
-            {"for_ms", Core::toMilliseconds(backend.evidence.avoidedUntil() - this->timers.now())},
+            {"failures", backend.health.consecutiveFailures()},
+            {"for_ms", Core::toMilliseconds(backend.health.avoidedUntil() - this->timers.now())},
             {"reason", reason}});
 }
 
@@ -633,7 +633,7 @@
 
 // ---- Room
 
-std::uint64_t BackendPool::waitForRoom(const Core::ServiceName &service, const Urgency &urgency, RoomHook hook)
+std::uint64_t BackendPool::waitForCapacity(const Core::ServiceName &service, const Urgency &urgency, RoomHook hook)
 {
     auto &waiters = this->serviceOf(service).waiters;
     const auto number = this->nextWaiter++;
@@ -697,7 +697,7 @@
     const auto now = this->timers.now();
     this->cancelOverdue(now);
     this->coldAllowance.forget(now);
-    this->closeResting(now);
+    this->closeIdleConnections(now);
     this->offerRoomToWaiters();
     if (this->attempts.empty() && this->awaitedServices.empty()) {
         this->sweepEvery(RestPeriod);
@@ -719,7 +719,7 @@
     std::vector<AttemptId> overdue;
     for (const auto &[id, attempt] : this->attempts) {
         const bool connecting = attempt.connection && !attempt.connection->isConnected();
-        const bool connectsTooLong = connecting && now - attempt.startedAt >= this->options.connectPatience;
+        const bool connectsTooLong = connecting && now - attempt.startedAt >= this->options.connectTimeout;
         if ((attempt.cancelAt.has_value() && attempt.cancelAt.value() <= now) || connectsTooLong) {
             overdue.push_back(id);
         }
@@ -733,11 +733,11 @@
         auto &backend = *attempt.backend;
         const bool sent = attempt.connection && attempt.connection->isConnected();
         ++this->counts.cancelled;
-        if (sent && now - backend.evidence.lastReply() >= this->options.abandonPatience) {
+        if (sent && now - backend.health.lastReply() >= this->options.abandonPatience) {
             // Longer than any pause, so it is no pause.
-            this->noteSilence(backend, "silent");
+            this->recordSilence(backend, "silent");
         } else if (!sent) {
-            this->noteFailure(backend, "no connection in time");
+            this->recordFailure(backend, "no connection in time");
         }
         if (attempt.connection) {
             attempt.connection->close();
@@ -748,13 +748,13 @@
     }
 }
 
-void BackendPool::closeResting(Core::Instant now)
+void BackendPool::closeIdleConnections(Core::Instant now)
 {
     const auto isOver = [](const Backend &backend) {
         return backend.phase == Protocol::BackendPhase::GONE && backend.connections.size() == 0 && backend.inFlight.empty();
     };
     // A backend server that has gone is not connected to any more.
-    const RestLimits limits{.connectPatience = this->options.connectPatience, .idleLimit = this->options.idleLimit};
+    const RestLimits limits{.connectTimeout = this->options.connectTimeout, .idleLimit = this->options.idleLimit};
     static constexpr RestLimits LimitsOnceGone{};
     std::vector<ConnectionPointer> resting;
     std::vector<Backend *> gone;
@@ -795,9 +795,9 @@
             {"born", backend->born},
             {"connections", backend->connections.size()},
             {"in_flight", backend->inFlight.size()},
-            {"trouble_rate", backend->evidence.troubleRate(now)},
-            {"avoided_ms", Core::toMilliseconds(std::max(Core::Duration(0), backend->evidence.avoidedUntil() - now))},
-            {"failures", backend->evidence.consecutiveFailures()}});
+            {"trouble_rate", backend->health.failureRate(now)},
+            {"avoided_ms", Core::toMilliseconds(std::max(Core::Duration(0), backend->health.avoidedUntil() - now))},
+            {"failures", backend->health.consecutiveFailures()}});
     }
     return rows.dump(2);
 }
--- a/Libraries/LibGateway/BackendPool.h
+++ b/Libraries/LibGateway/BackendPool.h
@@ -13,8 +13,8 @@
 #include <LibCore/TimerService.h>
 #include <LibFleet/Declaration.h>
 #include <LibGateway/BackendChoice.h>
-#include <LibGateway/ColdAllowance.h>
-#include <LibGateway/RepeatBudget.h>
+#include <LibGateway/RetryBudget.h>
+#include <LibGateway/WarmupLimiter.h>
 
 #include <map>
 #include <memory>
@@ -30,18 +30,18 @@
 struct BackendPoolOptions {
     Core::ZoneName zone;
     Fleet::RegionOfZone regions;
-    RepeatBudgetOptions budget;
+    RetryBudgetOptions budget;
     /** A server that is not silent answers a new connection within this time, also across regions. */
-    Core::Duration connectPatience{Core::milliseconds(600)};
+    Core::Duration connectTimeout{Core::milliseconds(600)};
     /** The other side's machines accept a connection within a few round trips as long as they run, so one that has taken longer is given up. */
     bool acceptsAtOnce{false};
     /** Sent bytes that stay unacknowledged for this long break a connection; a machine that runs acknowledges within a round trip. */
-    Core::Duration silenceLimit{Core::milliseconds(1200)};
+    Core::Duration acknowledgementTimeout{Core::milliseconds(1200)};
     /** Failures in a row after which one is avoided. Silence counts at once. */
     int failuresUntilAvoided{2};
     /** Nothing where the other side takes as many connections as come. */
     std::optional<TrialOptions> trial{TrialOptions{}};
-    TurnedAwayOptions turnedAway;
+    RejectionBackoffOptions connectionRejected;
     /** An abandoned attempt is cancelled, by closing its connection, after this time. Longer than a pause, so that a connection survives one. */
     Core::Duration abandonPatience{Core::milliseconds(300)};
     /** Once the caller has gone nobody needs the answer: cancelled well within half a second. */
@@ -49,7 +49,7 @@
     /** A connection that was not used for this long is closed. */
     Core::Duration idleLimit{Core::seconds(20)};
     BackendChoiceOptions choice;
-    ColdOptions cold;
+    WarmupOptions cold;
     ConnectionShares connections;
     /** Connections to a backend server of a service that is not declared. */
     int undeclaredCap{1};
@@ -89,12 +89,12 @@
     std::uint64_t broken{0};
     std::uint64_t notSent{0};
     /** Connections that were accepted and reset before a request was sent. */
-    std::uint64_t turnedAway{0};
+    std::uint64_t connectionRejected{0};
     std::uint64_t notExecuted{0};
     std::uint64_t cancelled{0};
     std::uint64_t wrongBackend{0};
     /** Answers that were passed over, since they belong to another send. */
-    std::uint64_t passedOver{0};
+    std::uint64_t discarded{0};
     /** Sends for which a kept connection was not used, because it had carried one of the same key before. */
     std::uint64_t keptApart{0};
     /** Backend servers that sweeps looked at: what a gateway costs at rest. */
@@ -142,15 +142,15 @@
     [[nodiscard]] bool mayHaveBeenSent(AttemptId id) const;
 
     /** Calls the hook when there may be room; more urgent ones first, of these the newest. Returns a number for stopWaiting(). */
-    std::uint64_t waitForRoom(const Core::ServiceName &service, const Urgency &urgency, RoomHook hook);
+    std::uint64_t waitForCapacity(const Core::ServiceName &service, const Urgency &urgency, RoomHook hook);
     void stopWaiting(const Core::ServiceName &service, std::uint64_t number);
 
     /** Counts a first send in the service's budget of repeats. */
-    void noteRequest(const Core::ServiceName &service);
+    void recordRequest(const Core::ServiceName &service);
     /** Takes a repeat out of that budget; false when there is none left. */
-    [[nodiscard]] bool takeRepeat(const Core::ServiceName &service);
+    [[nodiscard]] bool consumeRetry(const Core::ServiceName &service);
     /** Whether a backend server of the service is ready, wherever it is. */
-    [[nodiscard]] bool knowsReady(const Core::ServiceName &service) const;
+    [[nodiscard]] bool hasReady(const Core::ServiceName &service) const;
     /** Whether one may be asked. */
     [[nodiscard]] bool hasEligible(const Core::ServiceName &service, const Fleet::AllowedRegions &allowedRegions) const;
     /** The availability zones whose backend servers are about as good a choice as the best one, each once. Empty when none takes work. */
@@ -158,7 +158,7 @@
         const Core::ServiceName &service, Core::Duration typicalLatency, const Fleet::AllowedRegions &allowedRegions) const;
     /** Whether one of the best backend servers is in this region. */
     [[nodiscard]] bool isGoodInRegion(const Core::ServiceName &service, Core::Duration typicalLatency, const Fleet::AllowedRegions &allowedRegions) const;
-    /** Another gateway asked the backend servers of a service in a zone; `ratio` as in BackendEvidence::noteAnswer(). */
+    /** Another gateway asked the backend servers of a service in a zone; `ratio` as in BackendHealth::recordAnswer(). */
     void learnFromPart(const Core::ServiceName &service, const std::string &zone, double ratio);
     /** The shortest round trip to a backend server of a service; an assumption before one was measured. */
     [[nodiscard]] Core::Duration roundTripTo(const Core::ServiceName &service) const;
@@ -189,8 +189,8 @@
         int connectionCap{0};
         // As declared.
         Core::Duration warmupTime{0};
-        double coldRequestsPerSecond{0.0};
-        std::unique_ptr<RepeatBudget> budget;
+        double warmupRequestsPerSecond{0.0};
+        std::unique_ptr<RetryBudget> budget;
         // Of all backend servers that it ever had: a zone that loses its last one still counts, so that no part grows when one does.
         std::set<std::string> zones;
     };
@@ -214,7 +214,7 @@
     /** `keptApart`: beside idle ones that may not be used, so that the backend server may have as many as it takes. */
     [[nodiscard]] ConnectionPointer openConnection(Backend &backend, bool keptApart);
     [[nodiscard]] std::optional<Core::Duration> trialMargin(bool keptApart) const;
-    /** How long a new connection may take; nothing where connectPatience alone bounds it. */
+    /** How long a new connection may take; nothing where connectTimeout alone bounds it. */
     [[nodiscard]] std::optional<Core::Duration> connectLimit(const Backend &backend) const;
     void connectionClosed(Backend &backend, const Wire::ClientConnection *connection);
     /** Whether what came from `backend` is the answer to a send of the key `expected`. */
@@ -222,9 +222,9 @@
     void finish(AttemptId id, Wire::ClientResult result);
     [[nodiscard]] Attempt takeAttempt(AttemptId id);
     void learn(Backend &backend, const Attempt &attempt, const AttemptOutcome &outcome);
-    void noteTurnedAway(Backend &backend);
-    void noteFailure(Backend &backend, const std::string &reason);
-    void noteSilence(Backend &backend, const std::string &reason);
+    void recordRejection(Backend &backend);
+    void recordFailure(Backend &backend, const std::string &reason);
+    void recordSilence(Backend &backend, const std::string &reason);
     void logAvoidance(const Backend &backend, const std::string &reason) const;
     void remove(Backend &backend);
     void offerRoom(const Core::ServiceName &service);
@@ -232,7 +232,7 @@
     void sweep();
     void sweepEvery(Core::Duration period);
     void cancelOverdue(Core::Instant now);
-    void closeResting(Core::Instant now);
+    void closeIdleConnections(Core::Instant now);
     void markGone(Backend &backend);
 
     BackendPoolOptions options;
@@ -240,7 +240,7 @@
     Core::EventPoll &poll;
     Core::TimerService &timers;
     BackendChoice choice;
-    ColdAllowance coldAllowance;
+    WarmupLimiter coldAllowance;
     // Until the registry tells, so many that nothing is taken out of what all share but a connection each.
     GatewayCount gateways{.all = AssumedGateways, .inZone = AssumedGateways};
     static constexpr int AssumedGateways = 10'000;
--- a/Libraries/LibGateway/CellOwnership.cpp
+++ b/Libraries/LibGateway/CellOwnership.cpp
@@ -6,7 +6,7 @@
 #include <LibGateway/CellOwnership.h>
 
 #include <LibCore/Log.h>
-#include <LibGateway/ColdAllowance.h>
+#include <LibGateway/WarmupLimiter.h>
 
 #include <algorithm>
 
@@ -34,7 +34,7 @@
     this->searchRate.note();
 }
 
-void CellOwnership::takeGateways(const Fleet::BackendRegistry &gateways, Core::Instant now)
+void CellOwnership::updateGateways(const Fleet::BackendRegistry &gateways, Core::Instant now)
 {
     if (std::exchange(this->mapPosition, gateways.position()) == gateways.position()) {
         return;
@@ -47,7 +47,7 @@
     this->gatewaysSince = now;
 }
 
-void CellOwnership::takeDeclaration(const Fleet::Declaration &declaration)
+void CellOwnership::applyDeclaration(const Fleet::Declaration &declaration)
 {
     std::unordered_map<Core::ServiceName, std::size_t> declared;
     const std::vector<Core::ServiceName> *seen = nullptr;
--- a/Libraries/LibGateway/CellOwnership.h
+++ b/Libraries/LibGateway/CellOwnership.h
@@ -38,8 +38,8 @@
     CellOwnership(CellOwnershipOptions options, std::string ownZone, const Fleet::RegionOfZone &regions, const std::string &ownAddress, Core::Instant now);
 
     /** Takes the ready gateways over if any has come or gone. */
-    void takeGateways(const Fleet::BackendRegistry &gateways, Core::Instant now);
-    void takeDeclaration(const Fleet::Declaration &declaration);
+    void updateGateways(const Fleet::BackendRegistry &gateways, Core::Instant now);
+    void applyDeclaration(const Fleet::Declaration &declaration);
     /** A caller brought a search. */
     void noteSearch();
     /** To be called after each `span` of time. */
--- a/Libraries/LibGateway/ConnectionAllowance.cpp
+++ b/Libraries/LibGateway/ConnectionAllowance.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-void TrialPeriod::noteReset(Core::Instant now)
+void TrialPeriod::recordReset(Core::Instant now)
 {
     this->latest = now;
 }
@@ -30,18 +30,18 @@
     return now - this->latest < options.period ? std::optional(options.margin) : std::nullopt;
 }
 
-void TurnedAwayPause::noteTurnedAway(const TurnedAwayOptions &options, Core::Instant now)
+void RejectionBackoff::recordRejection(const RejectionBackoffOptions &options, Core::Instant now)
 {
     this->pause = std::clamp(2 * this->pause, options.firstPause, options.longestPause);
     this->end = now + this->pause;
 }
 
-void TurnedAwayPause::noteReply()
+void RejectionBackoff::recordReply()
 {
     this->pause = Core::Duration(0);
 }
 
-bool TurnedAwayPause::isOver(Core::Instant now) const
+bool RejectionBackoff::isOver(Core::Instant now) const
 {
     return now >= this->end;
 }
--- a/Libraries/LibGateway/ConnectionAllowance.h
+++ b/Libraries/LibGateway/ConnectionAllowance.h
@@ -39,7 +39,7 @@
 [[nodiscard]] std::size_t connectionLimit(const ConnectionShares &shares, int cap, bool sameZone, GatewayCount gateways);
 
 /** For how long a backend server that turned a connection away gets no new one. */
-struct TurnedAwayOptions {
+struct RejectionBackoffOptions {
     /** At first; a few round trips, in which another gateway may close one. */
     Core::Duration firstPause{Core::milliseconds(100)};
     /** At most, doubling each time; short against the seconds in which a server notices that the other side has lost power. */
@@ -62,7 +62,7 @@
     explicit TrialPeriod(Core::Instant start);
 
     /** A connection was reset before it had an answer. */
-    void noteReset(Core::Instant now);
+    void recordReset(Core::Instant now);
 
     /** The margin of a connection that is opened now; nothing when it needs no trial. */
     [[nodiscard]] std::optional<Core::Duration> marginAt(const TrialOptions &options, Core::Instant now) const;
@@ -72,14 +72,14 @@
 };
 
 /** Remembers for one backend server that it has as many connections as it takes. Says nothing of how it works. */
-class TurnedAwayPause
+class RejectionBackoff
 {
 public:
     /** It accepted a connection and reset it before a request was sent. */
-    void noteTurnedAway(const TurnedAwayOptions &options, Core::Instant now);
+    void recordRejection(const RejectionBackoffOptions &options, Core::Instant now);
 
     /** It answered a request, so it holds a connection from here. */
-    void noteReply();
+    void recordReply();
 
     /** Whether a new connection may be tried. */
     [[nodiscard]] bool isOver(Core::Instant now) const;
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -37,7 +37,7 @@
     Core::RequestId id;
     std::string host;
     /** How long the caller waits; nothing when it did not say. */
-    std::optional<Core::Duration> patience;
+    std::optional<Core::Duration> callerTimeout;
     /** The caller's secret, taken out of the message; nothing when it sent none. */
     std::optional<Fleet::ApiKey> key;
     /** Whose request it is, as far as the key showed. Backend servers are told, whatever the caller said of itself. */
@@ -60,7 +60,7 @@
     int waiting{0};
     int slots{0};
     /** How many times as long as usual work takes on its machine now; nothing where it does not say. */
-    std::optional<double> pace;
+    std::optional<double> slowdown;
 };
 
 /** A backend server's reply, its envelope read. */
@@ -124,11 +124,11 @@
     /** Appends the bytes of a request to a backend server. */
     std::function<void(std::string &bytes, const BackendRequest &request)> writeRequest;
     /** A backend server's reply as the caller gets it. */
-    std::function<Wire::Response(BackendReply reply)> passOn;
+    std::function<Wire::Response(BackendReply reply)> forwardReply;
     std::function<Wire::Response(const MergedAnswer &answer)> writeMerged;
     /** A partial answer for another gateway, whose body is ours. */
     std::function<Wire::Response(const Core::RequestId &id, std::string body)> writePartial;
-    std::function<Wire::Response(Refusal refusal, const Core::RequestId &id, Core::Duration comeBackAfter)> writeRefusal;
+    std::function<Wire::Response(Refusal refusal, const Core::RequestId &id, Core::Duration retryAfter)> writeRefusal;
 };
 
 }
--- a/Libraries/LibGateway/FanOutRequest.cpp
+++ b/Libraries/LibGateway/FanOutRequest.cpp
@@ -25,11 +25,15 @@
 // How many times the usual latency a backend server is taken to need that another gateway got no answer from before its part left.
 static constexpr double MissedRatio = 8.0;
 
-FanOutRequest::FanOutRequest(
-    RequestContext context, std::shared_ptr<const Fleet::RouteTable> routes, const Fleet::Route &route, CallerRequest request, RelayPlan plan, Asker asker)
+FanOutRequest::FanOutRequest(RequestContext context,
+    std::shared_ptr<const Fleet::RouteTable> routes,
+    const Fleet::Route &route,
+    CallerRequest request,
+    RelayPlan plan,
+    RequestOrigin asker)
     : RoutedRequest(context, std::move(routes), route, std::move(request)), plan(std::move(plan)), asker(asker)
 {
-    this->terms.workLimit = this->context.workLimit;
+    this->parameters.workLimit = this->context.workLimit;
 }
 
 // ---- Calls
@@ -42,14 +46,14 @@
         shards += part.shards.size();
     }
     for (const auto &shard : this->plan.direct) {
-        shards += this->context.pool->hasEligible(shard, this->terms.allowedRegions) ? 1 : 0;
+        shards += this->context.pool->hasEligible(shard, this->parameters.allowedRegions) ? 1 : 0;
     }
     return shards >= this->needed();
 }
 
 void FanOutRequest::startCalls()
 {
-    if (this->asker == Asker::Caller && !this->canBeServed()) {
+    if (this->asker == RequestOrigin::Caller && !this->canBeServed()) {
         // Nothing is asked, so check() refuses it as not run, at once.
         return;
     }
@@ -68,7 +72,7 @@
     for (std::size_t number = 0; number < this->plan.parts.size(); ++number) {
         this->startPart(this->plan.parts[number], std::move(rowNumbers[number]));
     }
-    const bool isHedge = this->context.relayTerms.has_value() && this->context.relayTerms->isHedge;
+    const bool isHedge = this->context.relayParameters.has_value() && this->context.relayParameters->isHedge;
     for (std::size_t number = 0; number < this->plan.direct.size(); ++number) {
         if (isHedge) {
             this->startHedged(this->rows[number]);
@@ -95,7 +99,7 @@
 void FanOutRequest::startHedged(Row &row)
 {
     row.lost.executions = HedgedExecutions;
-    if (!this->context.pool->isGoodInRegion(row.shard, this->terms.typicalLatency, this->terms.allowedRegions)) {
+    if (!this->context.pool->isGoodInRegion(row.shard, this->parameters.typicalLatency, this->parameters.allowedRegions)) {
         return;
     }
     row.call = this->makeCall(row.shard);
@@ -115,14 +119,14 @@
     // Each part gets its share of what may be missing, rounded up. One of a cell is small, and one that waits for its own late shards keeps all of
     // them from a search that could leave; so it may lack half of all that may be missing, and one that lacks more makes the search late anyway. After
     // the target it is whole. Of hedges any that is in is of use.
-    const auto bySize = (this->mayMiss() * partPlan.shards.size() + this->rows.size() - 1) / this->rows.size();
-    const auto ofCell = this->canBeInTime() ? std::max(bySize, this->mayMiss() / 2) : 0;
+    const auto bySize = (this->maximumMissing() * partPlan.shards.size() + this->rows.size() - 1) / this->rows.size();
+    const auto ofCell = this->canBeInTime() ? std::max(bySize, this->maximumMissing() / 2) : 0;
     const auto share = partPlan.owners.empty() ? bySize : ofCell;
-    const PartTerms partTerms{.targetAt = this->terms.targetAt,
-        .giveUpAt = std::min(this->terms.giveUpAt, this->arrivedAt + this->plan.targetsHeld * this->route.targetLatency),
-        .mayMiss = partPlan.isHedge ? partPlan.shards.size() - 1 : share,
+    const PartTerms partTerms{.targetAt = this->parameters.targetAt,
+        .expiresAt = std::min(this->parameters.expiresAt, this->arrivedAt + this->plan.timeoutInTargets * this->route.targetLatency),
+        .maximumMissing = partPlan.isHedge ? partPlan.shards.size() - 1 : share,
         .topRecords = this->topRecords(),
-        .allowedRegions = this->terms.allowedRegions};
+        .allowedRegions = this->parameters.allowedRegions};
     this->parts.push_back(std::make_unique<AskedPart>());
     auto &asked = *this->parts.back();
     asked.part = std::make_unique<RelayedPart>(this->context, this->route, this->request, partPlan, partTerms);
@@ -182,7 +186,7 @@
         // NOTE: Also when the answer from here has come meanwhile: records of a part can't be told apart by shard, so the part's count.
         row.inPart = true;
         row.call->cameBack(1);
-        row.call->giveUp(false);
+        row.call->cancel(false);
         return;
     }
     switch (asked.part->call().state()) {
@@ -200,7 +204,7 @@
 
 bool FanOutRequest::canBeInTime() const
 {
-    return this->now() + this->terms.typicalLatency < this->terms.targetAt;
+    return this->now() + this->parameters.typicalLatency < this->parameters.targetAt;
 }
 
 // Shards that came back missing are asked for again while they can be in time, and later only when there are too few without them: a search that has
@@ -235,7 +239,7 @@
 {
     PartPlan part = what.asked->part->asked();
     part.shards.clear();
-    part.mayDivide = false;
+    part.mayRelayFurther = false;
     part.isAgain = true;
     for (const auto number : rowNumbers) {
         part.shards.push_back(this->rows[number].shard);
@@ -250,12 +254,12 @@
 bool FanOutRequest::mayHedgeTogether(const Row &row, const Backend &candidate) const
 {
     const bool isAskedElsewhere = row.part != nullptr && row.part->isOpen();
-    return !candidate.sameRegion && !isAskedElsewhere && !this->isTargetDue() && this->context.relays->knowsReady(relayService(candidate.zone));
+    return !candidate.sameRegion && !isAskedElsewhere && !this->isTargetDue() && this->context.relays->hasReady(relayService(candidate.zone));
 }
 
 Core::Instant FanOutRequest::hedgeLateCalls()
 {
-    auto next = this->terms.giveUpAt;
+    auto next = this->parameters.expiresAt;
     std::map<std::string, std::vector<std::size_t>> together;
     for (std::size_t number = 0; number < this->rows.size(); ++number) {
         auto &row = this->rows[number];
@@ -279,13 +283,13 @@
 
 void FanOutRequest::hedgeTogether(const std::string &zone, const std::vector<std::size_t> &rowNumbers)
 {
-    PartPlan hedges{.zone = zone, .shards = {}, .mayDivide = false, .isHedge = true, .leastRecord = this->leastRecord(), .owners = {}};
+    PartPlan hedges{.zone = zone, .shards = {}, .mayRelayFurther = false, .isHedge = true, .minimumRecord = this->minimumRecord(), .owners = {}};
     std::vector<Core::ServiceName> late;
     for (const auto number : rowNumbers) {
         late.push_back(this->rows[number].shard);
     }
     hedges.owners = this->context.cells->commonOwnersOf(late, this->route.shards.size(), zone);
-    const bool savesReply = !hedges.leastRecord.empty() && this->topRecords() * RecordBytes >= LargeReplyBytes;
+    const bool savesReply = !hedges.minimumRecord.empty() && this->topRecords() * RecordBytes >= LargeReplyBytes;
     // An owner has connections to the backend servers, which take a round trip and more to open from here.
     const bool asPart = rowNumbers.size() >= FewestHedgesTogether || savesReply || !hedges.owners.empty();
     std::vector<std::size_t> hedged;
@@ -313,25 +317,25 @@
         if (!part.isOpen()) {
             continue;
         }
-        if (this->now() >= part.giveUpAt()) {
-            part.giveUp(false);
+        if (this->now() >= part.expiresAt()) {
+            part.cancel(false);
             this->takePart(asked);
         } else {
-            next = std::min(next, part.giveUpAt());
+            next = std::min(next, part.expiresAt());
         }
     }
     return next;
 }
 
-void FanOutRequest::giveUpCalls(bool callerIsGone)
+void FanOutRequest::cancelCalls(bool callerIsGone)
 {
     for (const auto &row : this->rows) {
         if (row.call) {
-            row.call->giveUp(callerIsGone);
+            row.call->cancel(callerIsGone);
         }
     }
     for (const auto &asked : this->parts) {
-        asked->part->giveUp(callerIsGone);
+        asked->part->cancel(callerIsGone);
     }
 }
 
@@ -366,14 +370,14 @@
     return std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(exact)));
 }
 
-std::size_t FanOutRequest::mayMiss() const
+std::size_t FanOutRequest::maximumMissing() const
 {
-    return this->context.relayTerms.has_value() ? this->context.relayTerms->mayMiss : this->route.shards.size() - this->needed();
+    return this->context.relayParameters.has_value() ? this->context.relayParameters->maximumMissing : this->route.shards.size() - this->needed();
 }
 
 std::size_t FanOutRequest::topRecords() const
 {
-    return this->context.relayTerms.has_value() ? this->context.relayTerms->topRecords : this->route.topRecords;
+    return this->context.relayParameters.has_value() ? this->context.relayParameters->topRecords : this->route.topRecords;
 }
 
 std::size_t FanOutRequest::answeredCount() const
@@ -399,7 +403,7 @@
 
 void FanOutRequest::check()
 {
-    if (this->asker == Asker::Caller) {
+    if (this->asker == RequestOrigin::Caller) {
         this->checkForCaller();
     } else {
         this->checkForOtherGateway();
@@ -419,7 +423,7 @@
             this->askMissing();
         });
         if (this->answeredCount() + this->openCount() < this->needed()) {
-            this->giveUpCalls(false);
+            this->cancelCalls(false);
             this->refuse(this->mayHaveRun());
         }
     }
@@ -429,7 +433,7 @@
 void FanOutRequest::checkForOtherGateway()
 {
     const auto missing = this->rows.size() - this->answeredCount();
-    if (this->openCount() == 0 || (this->isTargetDue() && missing <= this->mayMiss())) {
+    if (this->openCount() == 0 || (this->isTargetDue() && missing <= this->maximumMissing())) {
         this->answerOtherGateway();
     }
 }
@@ -447,7 +451,7 @@
 
 // What is less than as many records as are wanted can't be wanted any more, if these stay. The answer of a row whose hedge is under way may yet
 // be replaced by that of another backend server, which need not hold the same records.
-std::string FanOutRequest::leastRecord() const
+std::string FanOutRequest::minimumRecord() const
 {
     const auto records = this->mergedRecords([](const Row &row) {
         return row.part == nullptr || !row.part->isOpen();
@@ -490,7 +494,7 @@
 {
     const bool isFull = records.size() == this->topRecords() * RecordBytes;
     for (const auto &asked : this->parts) {
-        const auto &least = asked->part->asked().leastRecord;
+        const auto &least = asked->part->asked().minimumRecord;
         const bool leftOut = !least.empty() && !asked->part->answer().signatures.empty();
         if (leftOut && (!isFull || records.compare(records.size() - RecordBytes, RecordBytes, least) < 0)) {
             Core::logEvent(Core::LogLevel::Error, "answer.lacks_records", {{"request", this->request.id.value()}, {"zone", asked->part->zone()}});
@@ -517,7 +521,7 @@
     this->verifyLeastRecords(answer.body);
     this->verifySignatures(answer.signatures);
     answer.missing = this->route.shards.size() - answer.signatures.size();
-    this->giveUpCalls(false);
+    this->cancelCalls(false);
     this->complete(this->context.dialect->writeMerged(answer), answer.missing == 0 ? RequestOutcome::Answered : RequestOutcome::Partial);
 }
 
@@ -543,11 +547,11 @@
     Protocol::PartialAnswer answer;
     this->noteLatencies();
     answer.records = this->mergedRecords(everyRow);
-    if (this->context.relayTerms.has_value()) {
-        dropLessThan(answer.records, this->context.relayTerms->leastRecord);
+    if (this->context.relayParameters.has_value()) {
+        dropLessThan(answer.records, this->context.relayParameters->minimumRecord);
     }
     answer.signatures = this->signatures();
-    this->giveUpCalls(false);
+    this->cancelCalls(false);
     for (const auto &row : this->rows) {
         if (!isAnswered(row)) {
             answer.missing.push_back(this->describeMissing(row));
@@ -560,7 +564,7 @@
 
 void FanOutRequest::describe(RequestSummary &summary) const
 {
-    summary.shards = this->asker == Asker::Caller ? this->route.shards.size() : this->rows.size();
+    summary.shards = this->asker == RequestOrigin::Caller ? this->route.shards.size() : this->rows.size();
     summary.answered = this->answeredCount();
     for (const auto &row : this->rows) {
         if (row.call) {
--- a/Libraries/LibGateway/FanOutRequest.h
+++ b/Libraries/LibGateway/FanOutRequest.h
@@ -15,7 +15,7 @@
 {
 
 /** Who asks for a search. */
-enum class Asker {
+enum class RequestOrigin {
     /** Gets a merged answer, if enough shards are in. */
     Caller,
     /** Gets what there is when the target is due, and what is missing. */
@@ -26,14 +26,18 @@
 class FanOutRequest final : public RoutedRequest
 {
 public:
-    FanOutRequest(
-        RequestContext context, std::shared_ptr<const Fleet::RouteTable> routes, const Fleet::Route &route, CallerRequest request, RelayPlan plan, Asker asker);
+    FanOutRequest(RequestContext context,
+        std::shared_ptr<const Fleet::RouteTable> routes,
+        const Fleet::Route &route,
+        CallerRequest request,
+        RelayPlan plan,
+        RequestOrigin asker);
 
 protected:
     void startCalls() override;
     void check() override;
     [[nodiscard]] Core::Instant lookAtCalls() override;
-    void giveUpCalls(bool callerIsGone) override;
+    void cancelCalls(bool callerIsGone) override;
     void describe(RequestSummary &summary) const override;
 
 private:
@@ -97,7 +101,7 @@
     [[nodiscard]] Protocol::MissingShard describeMissing(const Row &row) const;
     [[nodiscard]] std::size_t needed() const;
     /** How many shards may be missing from what this gateway was asked for. */
-    [[nodiscard]] std::size_t mayMiss() const;
+    [[nodiscard]] std::size_t maximumMissing() const;
     /** How many of the greatest records are wanted. */
     [[nodiscard]] std::size_t topRecords() const;
     [[nodiscard]] std::size_t answeredCount() const;
@@ -106,13 +110,13 @@
     /** The greatest records of all parts, and of the rows that count. */
     [[nodiscard]] std::string mergedRecords(const std::function<bool(const Row &row)> &counts) const;
     void noteLatencies() const;
-    [[nodiscard]] std::string leastRecord() const;
+    [[nodiscard]] std::string minimumRecord() const;
     void verifyLeastRecords(const std::string &records) const;
     void verifySignatures(std::vector<std::string> all) const;
     [[nodiscard]] std::vector<std::string> signatures() const;
 
     RelayPlan plan;
-    Asker asker;
+    RequestOrigin asker;
     // Invariant: one row for each shard that this gateway was asked for, in no order; none is added once the calls have started.
     std::vector<Row> rows;
     std::vector<std::unique_ptr<AskedPart>> parts;
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -42,20 +42,20 @@
     addCounter(page,
         "crankrudder_answers_passed_over_total",
         "Answers of backend servers and gateways that belong to another send than the one that waited.",
-        sends.passedOver + gateways.counters().passedOver);
+        sends.discarded + gateways.counters().discarded);
     addCounter(
         page, "crankrudder_connections_kept_apart_total", "Sends that did not use a kept connection because it had carried the same request.", sends.keptApart);
     addCounter(page,
         "crankrudder_connections_turned_away_total",
         "New connections that backend servers reset at once, having as many as they take.",
-        sends.turnedAway);
+        sends.connectionRejected);
     addCounter(page, "crankrudder_connections_opened_total", "Connections opened to backend servers.", sends.connectionsOpened);
     addCounter(page, "crankrudder_rows_swept_total", "Backend servers and gateways that sweeps looked at.", sends.swept + gateways.counters().swept);
     page.gauge("crankrudder_connections", "Connections to backend servers.", static_cast<double>(servers.connectionCount()));
     page.gauge("crankrudder_backends", "Backend servers that are known.", static_cast<double>(servers.backendCount()));
 }
 
-void addQuotaMetrics(Metrics::MetricsPage &page, const QuotaGate &quotas)
+void addQuotaMetrics(Metrics::MetricsPage &page, const QuotaLimiter &quotas)
 {
     const auto &counts = quotas.counters();
     addCounter(page, "crankrudder_quota_granted_total", "Requests that their workspace's quota let in.", counts.granted);
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -9,7 +9,7 @@
 #pragma once
 
 #include <LibGateway/BackendPool.h>
-#include <LibGateway/QuotaGate.h>
+#include <LibGateway/QuotaLimiter.h>
 #include <LibMetrics/MetricsPage.h>
 
 namespace Gateway
@@ -40,6 +40,6 @@
 /** Sends and connections to backend servers; of those to other gateways, what can't be told apart. */
 void addSendMetrics(Metrics::MetricsPage &page, const BackendPool &servers, const BackendPool &gateways);
 
-void addQuotaMetrics(Metrics::MetricsPage &page, const QuotaGate &quotas);
+void addQuotaMetrics(Metrics::MetricsPage &page, const QuotaLimiter &quotas);
 
 }
--- a/Libraries/LibGateway/GatewayNode.cpp
+++ b/Libraries/LibGateway/GatewayNode.cpp
@@ -34,9 +34,9 @@
     relays.undeclaredCap = options.relayConnections;
     // Gateways take as many connections as come.
     relays.trial.reset();
-    relays.connectPatience = options.relay.connectPatience;
+    relays.connectTimeout = options.relay.connectTimeout;
     relays.acceptsAtOnce = true;
-    relays.silenceLimit = options.relay.silenceLimit;
+    relays.acknowledgementTimeout = options.relay.acknowledgementTimeout;
     relays.failuresUntilAvoided = 1;
     return relays;
 }
@@ -65,22 +65,22 @@
     this->pool.slackShare = [this](const Core::ServiceName &service, const std::set<std::string> &zones) {
         return this->ownership.slackShareOf(service, zones, this->timers.now());
     };
-    this->watcher.heldVersion = [this] {
+    this->watcher.knownVersion = [this] {
         return this->routes ? this->routes->declaration().version : Fleet::DeclarationVersion(-1);
     };
-    this->watcher.presence = [this] {
+    this->watcher.ownAnnouncement = [this] {
         return this->makePresence();
     };
-    this->watcher.declarationArrived = [this](Fleet::DeclarationVersion version, const std::string &content) {
+    this->watcher.declarationReceived = [this](Fleet::DeclarationVersion version, const std::string &content) {
         this->adopt(version, content);
     };
     this->pool.coldShare = [this](const Core::ServiceName &service, const std::string &zone, int total) {
         return this->ownership.coldShareOf(service, zone, total, this->timers.now());
     };
-    this->watcher.evacuationsArrived = [this](const Protocol::Evacuations &evacuations) {
-        this->takeEvacuations(evacuations);
+    this->watcher.evacuationsChanged = [this](const Protocol::Evacuations &evacuations) {
+        this->applyEvacuations(evacuations);
     };
-    this->watcher.wantConfirmation();
+    this->watcher.requestConfirmation();
     this->watcher.addCoordinators(this->options.coordinators);
     this->counterTimer = timers.every(CounterLogPeriod, [this](Core::Instant) {
         this->logCounters();
@@ -92,7 +92,7 @@
 
 void GatewayNode::housekeep(Core::Instant now)
 {
-    if (this->watcher.hasNews() && !this->firstNews.has_value()) {
+    if (this->watcher.hasReceivedUpdate() && !this->firstNews.has_value()) {
         this->firstNews = now;
     }
     for (auto *digests : {&this->latencies, &this->relayLatencies}) {
@@ -103,11 +103,11 @@
     this->registry.forget(now);
     this->gateways.forget(now);
     this->countGateways(now);
-    if (this->watcher.inReach() > 0) {
+    if (this->watcher.reachableCount() > 0) {
         this->lastInReach = now;
     }
     const bool mayOwn = !this->draining && now - this->lastInReach < OwnershipWithoutNews;
-    this->ownership.takeGateways(this->gateways, this->timers.now());
+    this->ownership.updateGateways(this->gateways, this->timers.now());
     this->updateQuotas();
     this->quotas.sweep();
     this->ownership.advance({.gateways = this->pool.gatewayCount(), .mayOwn = mayOwn}, HousekeepingPeriod, now);
@@ -150,15 +150,15 @@
             {"sends_other_region", sends.attemptsToOtherRegion},
             {"broken", sends.broken},
             {"not_sent", sends.notSent},
-            {"turned_away", sends.turnedAway},
+            {"turned_away", sends.connectionRejected},
             {"not_executed", sends.notExecuted},
             {"cancelled", sends.cancelled},
-            {"answers_passed_over", sends.passedOver + this->relays.counters().passedOver},
+            {"answers_passed_over", sends.discarded + this->relays.counters().discarded},
             {"kept_apart", sends.keptApart},
             {"connections_opened", sends.connectionsOpened},
             {"connections", this->pool.connectionCount()},
             {"gateways", this->pool.gatewayCount()},
-            {"coordinators", this->watcher.inReach()}});
+            {"coordinators", this->watcher.reachableCount()}});
 }
 
 // ---- Other gateways
@@ -166,18 +166,18 @@
 std::optional<Protocol::BackendAnnouncement> GatewayNode::makePresence()
 {
     // Other gateways may ask one that knows what the coordinators know, even while callers should not come yet because servers are missing.
-    const bool knowsAll = this->routes && this->watcher.isConfirmed() && this->watcher.leaderKnownAt().has_value();
+    const bool knowsAll = this->routes && this->watcher.isConfirmed() && this->watcher.lastLeaderSync().has_value();
     if (!knowsAll && !this->isReady() && !this->draining) {
         return std::nullopt;
     }
-    Protocol::BackendAnnouncement presence;
-    presence.id = this->incarnationName;
-    presence.address = this->options.relayEndpoint.toString();
-    presence.zone = this->options.pool.zone.value();
-    presence.slots = this->options.relayConnections;
-    presence.phase = this->draining ? Protocol::BackendPhase::DRAINING : Protocol::BackendPhase::READY;
-    presence.sequence = ++this->presenceSequence;
-    return presence;
+    Protocol::BackendAnnouncement ownAnnouncement;
+    ownAnnouncement.id = this->incarnationName;
+    ownAnnouncement.address = this->options.relayEndpoint.toString();
+    ownAnnouncement.zone = this->options.pool.zone.value();
+    ownAnnouncement.slots = this->options.relayConnections;
+    ownAnnouncement.phase = this->draining ? Protocol::BackendPhase::DRAINING : Protocol::BackendPhase::READY;
+    ownAnnouncement.sequence = ++this->presenceSequence;
+    return ownAnnouncement;
 }
 
 void GatewayNode::updateRelays(const Fleet::BackendRecord &record)
@@ -208,10 +208,10 @@
     }
     this->routes = std::make_shared<const Fleet::RouteTable>(declaration.value());
     this->pool.setDeclaration(declaration.value());
-    this->ownership.takeDeclaration(*declaration.value());
-    this->quotas.takeDeclaration(declaration.value());
+    this->ownership.applyDeclaration(*declaration.value());
+    this->quotas.applyDeclaration(declaration.value());
     for (const auto &[id, request] : this->requests) {
-        request->keepTo(*this->routes);
+        request->restrictTo(*this->routes);
     }
     this->credits.clear();
     Core::logEvent(Core::LogLevel::Information,
@@ -225,7 +225,7 @@
     }
 }
 
-void GatewayNode::takeEvacuations(const Protocol::Evacuations &evacuations)
+void GatewayNode::applyEvacuations(const Protocol::Evacuations &evacuations)
 {
     this->pool.setEvacuatedZones(evacuations.zones);
     Core::logEvent(Core::LogLevel::Information, "evacuations.in_force", {{"revision", evacuations.revision}, {"zones", Core::joinList(evacuations.zones)}});
@@ -236,10 +236,10 @@
     const auto &routeList = this->routes->declaration().routes;
     return std::all_of(routeList.begin(), routeList.end(), [this](const Fleet::Route &route) {
         const bool targetsKnown = std::all_of(route.targets.begin(), route.targets.end(), [this](const auto &target) {
-            return target.weight <= 0.0 || this->pool.knowsReady(target.service);
+            return target.weight <= 0.0 || this->pool.hasReady(target.service);
         });
         const bool shardsKnown = std::all_of(route.shards.begin(), route.shards.end(), [this](const auto &shard) {
-            return this->pool.knowsReady(shard);
+            return this->pool.hasReady(shard);
         });
         return targetsKnown && shardsKnown;
     });
@@ -251,7 +251,7 @@
         return false;
     }
     // NOTE: Once backend servers were known to be all there, losing some is no reason to send callers to gateways that have lost them too.
-    const bool patienceOver = this->firstNews.has_value() && this->timers.now() - this->firstNews.value() >= this->options.registryPatience;
+    const bool patienceOver = this->firstNews.has_value() && this->timers.now() - this->firstNews.value() >= this->options.readinessTimeout;
     return patienceOver || this->knowsEveryService();
 }
 
@@ -260,7 +260,7 @@
     this->draining = true;
 }
 
-std::size_t GatewayNode::requestsUnderWay() const
+std::size_t GatewayNode::requestsInFlight() const
 {
     return this->requests.size() + this->admissions.size();
 }
@@ -324,8 +324,8 @@
 
 void GatewayNode::updateQuotas()
 {
-    this->quotas.takeGateways(this->gateways);
-    const auto leaderKnown = this->watcher.leaderKnownAt();
+    this->quotas.updateGateways(this->gateways);
+    const auto leaderKnown = this->watcher.lastLeaderSync();
     this->quotas.setMayKeep(!this->draining && leaderKnown.has_value() && this->timers.now() - leaderKnown.value() < KeepingWithoutLeader);
 }
 
@@ -368,14 +368,14 @@
                 {"workspace", request.workspace.value().value()},
                 {"asked", decision.asked},
                 {"waited_ms", Core::toMilliseconds(decision.waited)},
-                {"free_in_ms", Core::toMilliseconds(decision.comeBackAfter)},
+                {"free_in_ms", Core::toMilliseconds(decision.retryAfter)},
                 {"over_quota", isOver ? 1 : 0}});
         this->refuse(isOver ? Refusal::OverQuota : Refusal::NotRun,
             request,
             answerTo(exchange),
             isOver ? "over-quota" : "no-quota-keeper",
             // Without a keeper: about when one that comes now begins to let requests in.
-            isOver ? decision.comeBackAfter : this->options.quotas.quota.settleTime);
+            isOver ? decision.retryAfter : this->options.quotas.quota.settleTime);
         return;
     }
     // The declaration in force may be another one by now.
@@ -414,7 +414,7 @@
 }
 
 void GatewayNode::refuse(
-    Refusal refusal, const CallerRequest &request, const RoutedRequest::AnswerHook &answer, const char *outcome, std::optional<Core::Duration> comeBackAfter)
+    Refusal refusal, const CallerRequest &request, const RoutedRequest::AnswerHook &answer, const char *outcome, std::optional<Core::Duration> retryAfter)
 {
     Core::logEvent(Core::LogLevel::Information,
         "request.refused",
@@ -426,8 +426,8 @@
             {"declaration", this->routes ? this->routes->declaration().version.value() : -1},
             {"confirmed", this->watcher.isConfirmed() ? 1 : 0}});
     const auto &settings = this->options.requests;
-    const auto usual = this->watcher.isConfirmed() ? settings.comeBackAfter : settings.comeBackAfterStart;
-    answer(this->options.dialect.writeRefusal(refusal, request.id, comeBackAfter.value_or(usual)));
+    const auto usual = this->watcher.isConfirmed() ? settings.retryAfter : settings.comeBackAfterStart;
+    answer(this->options.dialect.writeRefusal(refusal, request.id, retryAfter.value_or(usual)));
 }
 
 Core::ServiceName GatewayNode::chooseTarget(const Fleet::Route &route)
@@ -452,7 +452,7 @@
 
 void GatewayNode::handleRelayed(Wire::Request message, const Wire::ExchangePointer &exchange)
 {
-    auto terms = takeRelayTerms(message.headers);
+    auto parameters = extractRelayParameters(message.headers);
     const auto answer = answerToSend(exchange, takeSendName(message.headers));
     const auto quotaQuestion = takeQuotaQuestion(message.headers);
     CallerRequest request = this->options.dialect.readRequest(std::move(message));
@@ -461,34 +461,36 @@
         return;
     }
     ++this->counts.takenForOthers;
-    request.workspace = terms.has_value() ? terms->workspace : std::nullopt;
+    request.workspace = parameters.has_value() ? parameters->workspace : std::nullopt;
     const auto *route = this->routes && this->watcher.isConfirmed() ? this->routes->match(request.host, request.message.target) : nullptr;
     const auto *workspace = this->routes && request.workspace.has_value() ? this->routes->declaration().workspaceNamed(request.workspace.value()) : nullptr;
     const bool knowsWorkspace = workspace != nullptr || !request.workspace.has_value();
-    const bool holdsShards = route != nullptr && terms.has_value() && std::all_of(terms->shards.begin(), terms->shards.end(), [route](const auto &shard) {
-        return std::find(route->shards.begin(), route->shards.end(), shard) != route->shards.end();
-    });
+    const bool holdsShards
+        = route != nullptr && parameters.has_value() && std::all_of(parameters->shards.begin(), parameters->shards.end(), [route](const auto &shard) {
+              return std::find(route->shards.begin(), route->shards.end(), shard) != route->shards.end();
+          });
     if (!holdsShards || !knowsWorkspace) {
         // The other gateway holds another declaration; it does the work itself then.
         this->refuse(Refusal::NotRun, request, answer, "part-refused");
         return;
     }
     RelayPlan plan;
-    if (terms->mayDivide) {
+    if (parameters->mayRelayFurther) {
         auto view = this->relayView(*route, workspace, true);
-        view.allowedRegions = view.allowedRegions.intersectedWith(terms->allowedRegions);
-        plan = planRelay(terms->shards, view, this->options.relay);
+        view.allowedRegions = view.allowedRegions.intersectedWith(parameters->allowedRegions);
+        plan = planRelay(parameters->shards, view, this->options.relay);
     } else {
-        plan.direct = terms->shards;
+        plan.direct = parameters->shards;
     }
-    plan.before = terms->before;
-    this->run(std::make_unique<FanOutRequest>(
-                  this->contextFor(*route, workspace, std::move(terms)), this->routes, *route, std::move(request), std::move(plan), Asker::OtherGateway),
+    plan.before = parameters->before;
+    this->run(
+        std::make_unique<FanOutRequest>(
+            this->contextFor(*route, workspace, std::move(parameters)), this->routes, *route, std::move(request), std::move(plan), RequestOrigin::OtherGateway),
         exchange,
         answer);
 }
 
-RequestContext GatewayNode::contextFor(const Fleet::Route &route, const Fleet::Workspace *workspace, std::optional<RelayTerms> relayTerms)
+RequestContext GatewayNode::contextFor(const Fleet::Route &route, const Fleet::Workspace *workspace, std::optional<RelayParameters> relayParameters)
 {
     return RequestContext{.pool = &this->pool,
         .relays = &this->relays,
@@ -500,12 +502,12 @@
         .workLimit = &this->workLimits[route.name],
         .cells = &this->ownership.cells(),
         .workspace = workspace,
-        .relayTerms = std::move(relayTerms)};
+        .relayParameters = std::move(relayParameters)};
 }
 
 RelayView GatewayNode::relayView(const Fleet::Route &route, const Fleet::Workspace *workspace, bool onlyOtherRegions)
 {
-    this->ownership.takeGateways(this->gateways, this->timers.now());
+    this->ownership.updateGateways(this->gateways, this->timers.now());
     return RelayView{.pool = this->pool,
         .relays = this->relays,
         .ownZone = this->options.pool.zone.value(),
@@ -521,7 +523,7 @@
 void GatewayNode::startRequest(const Fleet::Route &route, const Fleet::Workspace *workspace, CallerRequest request, const Wire::ExchangePointer &exchange)
 {
     // A caller can't claim to be another gateway.
-    (void)takeRelayTerms(request.message.headers);
+    (void)extractRelayParameters(request.message.headers);
     (void)takeSendName(request.message.headers);
     (void)takeQuotaQuestion(request.message.headers);
     const auto context = this->contextFor(route, workspace, std::nullopt);
@@ -532,7 +534,9 @@
     this->ownership.noteSearch();
     auto plan = planRelay(route.shards, this->relayView(route, workspace, false), this->options.relay);
     this->counts.relayed += plan.parts.size();
-    this->run(std::make_unique<FanOutRequest>(context, this->routes, route, std::move(request), std::move(plan), Asker::Caller), exchange, answerTo(exchange));
+    this->run(std::make_unique<FanOutRequest>(context, this->routes, route, std::move(request), std::move(plan), RequestOrigin::Caller),
+        exchange,
+        answerTo(exchange));
 }
 
 void GatewayNode::run(std::unique_ptr<RoutedRequest> request, const Wire::ExchangePointer &exchange, RoutedRequest::AnswerHook answer)
@@ -606,7 +610,7 @@
     page.gauge("crankrudder_evacuated_zones", "Availability zones that are evacuated.", static_cast<double>(this->watcher.evacuations().zones.size()));
     page.gauge("crankrudder_requests_under_way", "Requests that wait for their answer.", static_cast<double>(this->requests.size()));
     page.gauge("crankrudder_ready", "Whether callers should come here.", this->isReady() ? 1 : 0);
-    page.gauge("crankrudder_coordinators_in_reach", "Coordinators that answer.", static_cast<double>(this->watcher.inReach()));
+    page.gauge("crankrudder_coordinators_in_reach", "Coordinators that answer.", static_cast<double>(this->watcher.reachableCount()));
     page.gauge("crankrudder_gateways", "Gateways that are known to be ready.", this->pool.gatewayCount());
     page.gauge(
         "crankrudder_declaration_version", "The declaration in force.", this->routes ? static_cast<double>(this->routes->declaration().version.value()) : -1.0);
@@ -623,7 +627,7 @@
     document["declaration_version"] = this->routes ? this->routes->declaration().version.value() : -1;
     document["evacuated_zones"] = this->watcher.evacuations().zones;
     document["confirmed"] = this->watcher.isConfirmed();
-    document["coordinators_in_reach"] = this->watcher.inReach();
+    document["coordinators_in_reach"] = this->watcher.reachableCount();
     document["gateways"] = this->pool.gatewayCount();
     document["requests_under_way"] = this->requests.size();
     document["backends"] = nlohmann::json::parse(this->pool.dump());
--- a/Libraries/LibGateway/GatewayNode.h
+++ b/Libraries/LibGateway/GatewayNode.h
@@ -29,13 +29,13 @@
     Core::Endpoint relayEndpoint;
     RelayOptions relay;
     CellOwnershipOptions ownership;
-    QuotaGateOptions quotas;
+    QuotaLimiterOptions quotas;
     /** Connections to each other gateway, one request at a time on each. */
     int relayConnections{8};
     /** Reads a declaration's text. */
     std::function<Core::Result<std::shared_ptr<const Fleet::Declaration>>(const std::string &content)> readDeclaration;
     /** A gateway that knows no backend server for some services is ready all the same after this long; two heartbeats bring those that are there. */
-    Core::Duration registryPatience{Core::milliseconds(2600)};
+    Core::Duration readinessTimeout{Core::milliseconds(2600)};
 };
 
 /** Everything of a gateway but its sockets. */
@@ -60,7 +60,7 @@
 
     void addCoordinators(const std::vector<Core::Endpoint> &endpoints);
 
-    [[nodiscard]] std::size_t requestsUnderWay() const;
+    [[nodiscard]] std::size_t requestsInFlight() const;
     [[nodiscard]] const GatewayCounters &counters() const;
     [[nodiscard]] const BackendPool &backends() const;
     [[nodiscard]] std::string dump() const;
@@ -80,7 +80,7 @@
     };
 
     void adopt(Fleet::DeclarationVersion version, const std::string &content);
-    void takeEvacuations(const Protocol::Evacuations &evacuations);
+    void applyEvacuations(const Protocol::Evacuations &evacuations);
     /** Finds the workspace that holds the request's key, and names it in the request; nullptr when there is none. */
     [[nodiscard]] const Fleet::Workspace *authenticate(CallerRequest &request) const;
     /** Starts the request as soon as the quota of its workspace allows. */
@@ -89,7 +89,7 @@
     void answerQuotaQuestion(const Fleet::WorkspaceName &workspace, const CallerRequest &question, const RoutedRequest::AnswerHook &answer);
     void updateQuotas();
     void startRequest(const Fleet::Route &route, const Fleet::Workspace *workspace, CallerRequest request, const Wire::ExchangePointer &exchange);
-    [[nodiscard]] RequestContext contextFor(const Fleet::Route &route, const Fleet::Workspace *workspace, std::optional<RelayTerms> relayTerms);
+    [[nodiscard]] RequestContext contextFor(const Fleet::Route &route, const Fleet::Workspace *workspace, std::optional<RelayParameters> relayParameters);
     [[nodiscard]] RelayView relayView(const Fleet::Route &route, const Fleet::Workspace *workspace, bool onlyOtherRegions);
     void run(std::unique_ptr<RoutedRequest> request, const Wire::ExchangePointer &exchange, RoutedRequest::AnswerHook answer);
     [[nodiscard]] std::optional<Protocol::BackendAnnouncement> makePresence();
@@ -100,7 +100,7 @@
         const CallerRequest &request,
         const RoutedRequest::AnswerHook &answer,
         const char *outcome,
-        std::optional<Core::Duration> comeBackAfter = std::nullopt);
+        std::optional<Core::Duration> retryAfter = std::nullopt);
     [[nodiscard]] Core::ServiceName chooseTarget(const Fleet::Route &route);
     [[nodiscard]] bool knowsEveryService() const;
     void count(const RequestSummary &summary);
@@ -117,7 +117,7 @@
     Fleet::BackendRegistry gateways;
     Fleet::FleetWatcher watcher;
     CellOwnership ownership;
-    QuotaGate quotas;
+    QuotaLimiter quotas;
     // When a coordinator last answered.
     Core::Instant lastInReach;
     // The newest declaration that came; in force once it is confirmed that it was current.
--- a/Libraries/LibGateway/KeptConnections.cpp
+++ b/Libraries/LibGateway/KeptConnections.cpp
@@ -58,7 +58,7 @@
     };
     ConnectionPointer best;
     for (const auto &connection : this->connections) {
-        const bool mayCarry = connection->isIdle() && !connection->hasCarried(key.value());
+        const bool mayCarry = connection->isIdle() && !connection->hasSent(key.value());
         if (mayCarry && (!best || rank(connection) > rank(best))) {
             best = connection;
         }
@@ -90,7 +90,7 @@
             continue;
         }
         const auto rest = now - connection->lastUsed();
-        const bool neverCameUp = !connection->isConnected() && rest >= limits.connectPatience;
+        const bool neverCameUp = !connection->isConnected() && rest >= limits.connectTimeout;
         if (neverCameUp || connection->idleUntil() <= now || rest >= limits.idleLimit) {
             rested.push_back(connection);
         }
--- a/Libraries/LibGateway/KeptConnections.h
+++ b/Libraries/LibGateway/KeptConnections.h
@@ -23,7 +23,7 @@
 /** How long a connection is kept that carries nothing. */
 struct RestLimits {
     /** For one that has not come up. */
-    Core::Duration connectPatience{0};
+    Core::Duration connectTimeout{0};
     /** Since it was used last. */
     Core::Duration idleLimit{0};
 };
--- a/Libraries/LibGateway/QuotaLedger.cpp
+++ b/Libraries/LibGateway/QuotaLedger.cpp
@@ -94,7 +94,7 @@
     // Those who were refused before come first.
     const auto promise = std::clamp(part.promisedUntil + part.bucket.timePerToken() - now, freeAfter, std::max(freeAfter, LongestPromise));
     part.promisedUntil = now + promise;
-    return {.isKeeper = true, .granted = false, .freeAfter = freeAfter, .comeBackAfter = promise};
+    return {.isKeeper = true, .granted = false, .freeAfter = freeAfter, .retryAfter = promise};
 }
 
 }
--- a/Libraries/LibGateway/QuotaLedger.h
+++ b/Libraries/LibGateway/QuotaLedger.h
@@ -23,7 +23,7 @@
     /** When not granted: until when asking this keeper is in vain … */
     Core::Duration freeAfter{0};
     /** … and when the caller should come back, after those who were told so before. */
-    Core::Duration comeBackAfter{0};
+    Core::Duration retryAfter{0};
 };
 
 /**
--- a/Libraries/LibGateway/QuotaGate.cpp
+++ b/Libraries/LibGateway/QuotaLimiter.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibGateway/QuotaGate.h>
+#include <LibGateway/QuotaLimiter.h>
 
 #include <LibCore/Log.h>
 #include <LibCore/Settings.h>
@@ -21,14 +21,14 @@
 
 std::optional<Fleet::WorkspaceName> takeQuotaQuestion(Wire::Headers &headers)
 {
-    auto name = Wire::takeHeader(headers, RelayHeader::Quota);
+    auto name = Wire::extractHeader(headers, RelayHeader::Quota);
     return name.has_value() ? std::optional(Fleet::WorkspaceName(std::move(name.value()))) : std::nullopt;
 }
 
 std::string writeQuotaAnswer(const QuotaAnswer &answer)
 {
     return (answer.granted ? "1," : "0,") + std::to_string(Core::toMilliseconds(answer.freeAfter)) + ","
-        + std::to_string(Core::toMilliseconds(answer.comeBackAfter));
+        + std::to_string(Core::toMilliseconds(answer.retryAfter));
 }
 
 std::optional<QuotaAnswer> readQuotaAnswer(const std::string &body)
@@ -46,11 +46,10 @@
         }
         numbers.push_back(number.value());
     }
-    return QuotaAnswer{
-        .isKeeper = true, .granted = numbers[0] == 1, .freeAfter = Core::milliseconds(numbers[1]), .comeBackAfter = Core::milliseconds(numbers[2])};
+    return QuotaAnswer{.isKeeper = true, .granted = numbers[0] == 1, .freeAfter = Core::milliseconds(numbers[1]), .retryAfter = Core::milliseconds(numbers[2])};
 }
 
-QuotaGate::QuotaGate(const QuotaGateOptions &options,
+QuotaLimiter::QuotaLimiter(const QuotaLimiterOptions &options,
     const Fleet::RegionOfZone &regions,
     std::string ownZone,
     std::string ownAddress,
@@ -65,7 +64,7 @@
 {
 }
 
-QuotaGate::~QuotaGate()
+QuotaLimiter::~QuotaLimiter()
 {
     for (const auto &[number, question] : this->questions) {
         if (question.attempt.has_value()) {
@@ -74,17 +73,17 @@
     }
 }
 
-const QuotaCounters &QuotaGate::counters() const
+const QuotaCounters &QuotaLimiter::counters() const
 {
     return this->counts;
 }
 
-std::size_t QuotaGate::keptCount() const
+std::size_t QuotaLimiter::keptCount() const
 {
     return this->ledger.keptCount();
 }
 
-void QuotaGate::takeGateways(const Fleet::BackendRegistry &gateways)
+void QuotaLimiter::updateGateways(const Fleet::BackendRegistry &gateways)
 {
     if (!this->hasQuotas || std::exchange(this->gatewaysPosition, gateways.position()) == gateways.position()) {
         return;
@@ -96,7 +95,7 @@
     this->ledger.setGateways(ready, this->timers.now());
 }
 
-void QuotaGate::takeDeclaration(const std::shared_ptr<const Fleet::Declaration> &declaration)
+void QuotaLimiter::applyDeclaration(const std::shared_ptr<const Fleet::Declaration> &declaration)
 {
     const auto &workspaces = declaration->workspaces;
     this->hasQuotas = workspaces.has_value() && std::any_of(workspaces->all().begin(), workspaces->all().end(), [](const auto &workspace) {
@@ -107,18 +106,18 @@
     this->emptyParts.clear();
 }
 
-void QuotaGate::setMayKeep(bool mayKeep)
+void QuotaLimiter::setMayKeep(bool mayKeep)
 {
     this->ledger.setMayKeep(mayKeep, this->timers.now());
 }
 
-QuotaAnswer QuotaGate::answer(const Fleet::WorkspaceName &workspace)
+QuotaAnswer QuotaLimiter::answer(const Fleet::WorkspaceName &workspace)
 {
     ++this->counts.answered;
     return this->ledger.take(workspace, this->timers.now());
 }
 
-void QuotaGate::sweep()
+void QuotaLimiter::sweep()
 {
     const auto now = this->timers.now();
     this->latencies.fade(now);
@@ -127,7 +126,7 @@
     });
 }
 
-std::vector<KeeperGateway> QuotaGate::candidatesFor(const Fleet::Workspace &workspace, Question &question)
+std::vector<KeeperGateway> QuotaLimiter::candidatesFor(const Fleet::Workspace &workspace, Question &question)
 {
     const auto now = this->timers.now();
     std::vector<KeeperGateway> near;
@@ -136,7 +135,7 @@
         const auto empty = this->emptyParts.find({workspace.name, keeper->name});
         if (empty != this->emptyParts.end() && empty->second.until > now) {
             const auto wait = std::max(empty->second.until, empty->second.comeBackAt) - now;
-            question.comeBackAfter = std::min(wait, question.comeBackAfter.value_or(wait));
+            question.retryAfter = std::min(wait, question.retryAfter.value_or(wait));
             continue;
         }
         (this->ledger.keepers().isInRegionOf(*keeper, this->ownZone) ? near : far).push_back(*keeper);
@@ -156,7 +155,7 @@
     return near;
 }
 
-std::uint64_t QuotaGate::decide(const Fleet::Workspace &workspace, const Core::RequestId &request, DecisionHook done)
+std::uint64_t QuotaLimiter::decide(const Fleet::Workspace &workspace, const Core::RequestId &request, DecisionHook done)
 {
     const auto number = this->nextQuestion++;
     auto &question = this->questions[number];
@@ -170,7 +169,7 @@
     return number;
 }
 
-void QuotaGate::cancel(std::uint64_t number)
+void QuotaLimiter::cancel(std::uint64_t number)
 {
     const auto found = this->questions.find(number);
     if (found == this->questions.end()) {
@@ -182,7 +181,7 @@
     this->questions.erase(found);
 }
 
-void QuotaGate::askNext(std::uint64_t number)
+void QuotaLimiter::askNext(std::uint64_t number)
 {
     while (!this->questions.at(number).candidates.empty()) {
         auto &question = this->questions.at(number);
@@ -194,15 +193,15 @@
             }
             continue;
         }
-        if (this->takeAnswer(number, keeper, this->ledger.take(question.workspace, this->timers.now()))) {
+        if (this->handleAnswer(number, keeper, this->ledger.take(question.workspace, this->timers.now()))) {
             return;
         }
     }
-    const bool anyAnswered = this->questions.at(number).comeBackAfter.has_value();
+    const bool anyAnswered = this->questions.at(number).retryAfter.has_value();
     this->finish(number, anyAnswered ? QuotaDecision::Verdict::OverQuota : QuotaDecision::Verdict::NoKeeper);
 }
 
-bool QuotaGate::askOther(std::uint64_t number, const KeeperGateway &keeper)
+bool QuotaLimiter::askOther(std::uint64_t number, const KeeperGateway &keeper)
 {
     const auto service = relayService(keeper.zone);
     const Fleet::AllowedRegions anywhere;
@@ -219,9 +218,9 @@
             .timeLeft = this->options.askPatience,
             .typicalLatency = typical,
             .done = [this, number, keeper](const AttemptOutcome &outcome) {
-                this->takeOutcome(number, keeper, outcome);
+                this->handleOutcome(number, keeper, outcome);
             }});
-    question.patience = this->timers.once(this->options.askPatience, [this, number](Core::Instant) {
+    question.keeperTimer = this->timers.once(this->options.askPatience, [this, number](Core::Instant) {
         auto &late = this->questions.at(number);
         this->relays.abandon(late.attempt.value(), false);
         late.attempt.reset();
@@ -230,7 +229,7 @@
     return true;
 }
 
-void QuotaGate::takeOutcome(std::uint64_t number, const KeeperGateway &keeper, const AttemptOutcome &outcome)
+void QuotaLimiter::handleOutcome(std::uint64_t number, const KeeperGateway &keeper, const AttemptOutcome &outcome)
 {
     const auto found = this->questions.find(number);
     if (found == this->questions.end()) {
@@ -238,18 +237,18 @@
     }
     auto &question = found->second;
     question.attempt.reset();
-    question.patience.cancel();
+    question.keeperTimer.cancel();
     const bool hasAnswer = outcome.end == AttemptEnd::Replied && outcome.reply.isSuccess();
     const auto answer = hasAnswer ? readQuotaAnswer(outcome.reply.message.body) : std::nullopt;
     if (answer.has_value()) {
         this->latencies.add(this->timers.now() - question.began);
     }
-    if (!this->takeAnswer(number, keeper, answer.value_or(QuotaAnswer{}))) {
+    if (!this->handleAnswer(number, keeper, answer.value_or(QuotaAnswer{}))) {
         this->askNext(number);
     }
 }
 
-bool QuotaGate::takeAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaAnswer &answer)
+bool QuotaLimiter::handleAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaAnswer &answer)
 {
     if (!answer.isKeeper) {
         return false;
@@ -260,12 +259,12 @@
         return true;
     }
     const auto now = this->timers.now();
-    this->emptyParts[{question.workspace, keeper.name}] = {.until = now + answer.freeAfter, .comeBackAt = now + answer.comeBackAfter};
-    question.comeBackAfter = std::min(answer.comeBackAfter, question.comeBackAfter.value_or(answer.comeBackAfter));
+    this->emptyParts[{question.workspace, keeper.name}] = {.until = now + answer.freeAfter, .comeBackAt = now + answer.retryAfter};
+    question.retryAfter = std::min(answer.retryAfter, question.retryAfter.value_or(answer.retryAfter));
     return false;
 }
 
-void QuotaGate::finish(std::uint64_t number, QuotaDecision::Verdict verdict)
+void QuotaLimiter::finish(std::uint64_t number, QuotaDecision::Verdict verdict)
 {
     const auto row = this->questions.extract(number);
     const auto &question = row.mapped();
@@ -281,7 +280,7 @@
         break;
     }
     question.done({.verdict = verdict,
-        .comeBackAfter = question.comeBackAfter.value_or(Core::Duration(0)),
+        .retryAfter = question.retryAfter.value_or(Core::Duration(0)),
         .asked = question.asked,
         .waited = this->timers.now() - question.began});
 }
--- a/Libraries/LibGateway/QuotaGate.h
+++ b/Libraries/LibGateway/QuotaLimiter.h
@@ -17,7 +17,7 @@
 {
 
 /** How long and how many keepers are asked. */
-struct QuotaGateOptions {
+struct QuotaLimiterOptions {
     QuotaOptions quota;
     /** A keeper that does not answer within this time is passed over; between the farthest regions that we know of a round trip takes 24 ms. */
     Core::Duration askPatience{Core::milliseconds(60)};
@@ -36,7 +36,7 @@
     };
     Verdict verdict{Verdict::NoKeeper};
     /** With OverQuota: when there is some quota again. */
-    Core::Duration comeBackAfter{0};
+    Core::Duration retryAfter{0};
     /** Other gateways that were asked. */
     std::size_t asked{0};
     Core::Duration waited{0};
@@ -53,25 +53,25 @@
 };
 
 /** Of one gateway. */
-class QuotaGate
+class QuotaLimiter
 {
 public:
     using DecisionHook = std::function<void(const QuotaDecision &decision)>;
 
     /** `relays` holds the other gateways as services by zone. */
-    QuotaGate(const QuotaGateOptions &options,
+    QuotaLimiter(const QuotaLimiterOptions &options,
         const Fleet::RegionOfZone &regions,
         std::string ownZone,
         std::string ownAddress,
         BackendPool &relays,
         Core::TimerService &timers);
-    ~QuotaGate();
-    QuotaGate(const QuotaGate &) = delete;
-    QuotaGate &operator=(const QuotaGate &) = delete;
+    ~QuotaLimiter();
+    QuotaLimiter(const QuotaLimiter &) = delete;
+    QuotaLimiter &operator=(const QuotaLimiter &) = delete;
 
     /** Takes the ready gateways over if any has come or gone. */
-    void takeGateways(const Fleet::BackendRegistry &gateways);
-    void takeDeclaration(const std::shared_ptr<const Fleet::Declaration> &declaration);
+    void updateGateways(const Fleet::BackendRegistry &gateways);
+    void applyDeclaration(const std::shared_ptr<const Fleet::Declaration> &declaration);
     /** See QuotaLedger::setMayKeep(); to be called before each answer and decision. */
     void setMayKeep(bool mayKeep);
 
@@ -99,9 +99,9 @@
         Core::Instant began;
         std::size_t asked{0};
         // The shortest that a keeper told; nothing while none has answered.
-        std::optional<Core::Duration> comeBackAfter;
+        std::optional<Core::Duration> retryAfter;
         DecisionHook done;
-        Core::TimerSubscription patience;
+        Core::TimerSubscription keeperTimer;
     };
     // What a keeper said of a workspace when it had nothing left.
     using EmptyKey = std::pair<Fleet::WorkspaceName, BackendName>;
@@ -114,12 +114,12 @@
     [[nodiscard]] std::vector<KeeperGateway> candidatesFor(const Fleet::Workspace &workspace, Question &question);
     void askNext(std::uint64_t number);
     [[nodiscard]] bool askOther(std::uint64_t number, const KeeperGateway &keeper);
-    void takeOutcome(std::uint64_t number, const KeeperGateway &keeper, const AttemptOutcome &outcome);
+    void handleOutcome(std::uint64_t number, const KeeperGateway &keeper, const AttemptOutcome &outcome);
     /** Returns whether the question is decided. */
-    [[nodiscard]] bool takeAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaAnswer &answer);
+    [[nodiscard]] bool handleAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaAnswer &answer);
     void finish(std::uint64_t number, QuotaDecision::Verdict verdict);
 
-    QuotaGateOptions options;
+    QuotaLimiterOptions options;
     std::string ownZone;
     std::string ownAddress;
     BackendPool &relays;
