--- a/Libraries/LibGateway/RelayPlan.cpp
+++ b/Libraries/LibGateway/RelayPlan.cpp
@@ -16,7 +16,7 @@
 
 static constexpr std::int64_t LongestMilliseconds = 3'600'000;
 static constexpr int NotRunStatus = 503;
-// RelayTerms has so many fields but for the shards.
+// RelayParameters has so many fields but for the shards.
 static constexpr std::size_t TermNumbers = 9;
 
 Core::ServiceName relayService(const std::string &zone)
@@ -43,8 +43,8 @@
         return {view.ownZone};
     }
     std::erase_if(zones, [&view](const std::string &zone) {
-        const bool passedOver = view.onlyOtherRegions && Fleet::inSameRegion(view.regions, zone, view.ownZone);
-        return passedOver || !view.relays.knowsReady(relayService(zone));
+        const bool discarded = view.onlyOtherRegions && Fleet::inSameRegion(view.regions, zone, view.ownZone);
+        return discarded || !view.relays.hasReady(relayService(zone));
     });
     return zones;
 }
@@ -104,9 +104,9 @@
 RelayPlan planRelay(const std::vector<Core::ServiceName> &shards, const RelayView &view, const RelayOptions &options)
 {
     RelayPlan plan;
-    plan.targetsHeld = options.targetsHeld;
+    plan.timeoutInTargets = options.timeoutInTargets;
     std::vector<FarShard> far;
-    PartPlan own{.zone = view.ownZone, .shards = {}, .mayDivide = true};
+    PartPlan own{.zone = view.ownZone, .shards = {}, .mayRelayFurther = true};
     const bool ownCells = !view.onlyOtherRegions && view.cells.isDivided(view.ownZone);
     for (const auto &shard : shards) {
         auto zones = zonesToAsk(shard, view);
@@ -124,16 +124,16 @@
         const auto rest = std::stable_partition(far.begin(), far.end(), [&zone](const FarShard &shard) {
             return std::find(shard.zones.begin(), shard.zones.end(), zone) != shard.zones.end();
         });
-        PartPlan part{.zone = zone, .shards = {}, .mayDivide = Fleet::inSameRegion(view.regions, zone, view.ownZone)};
+        PartPlan part{.zone = zone, .shards = {}, .mayRelayFurther = Fleet::inSameRegion(view.regions, zone, view.ownZone)};
         for (auto shard = far.begin(); shard != rest; ++shard) {
             part.shards.push_back(shard->name);
         }
         far.erase(far.begin(), rest);
-        if (part.mayDivide && view.cells.isDivided(zone)) {
+        if (part.mayRelayFurther && view.cells.isDivided(zone)) {
             addCells(plan, part, view, options);
         } else {
             part.owners = view.cells.commonOwnersOf(part.shards, view.shardsInSearch, zone);
-            const auto fewest = part.mayDivide ? options.fewestShards : options.fewestFarShards;
+            const auto fewest = part.mayRelayFurther ? options.fewestShards : options.fewestFarShards;
             addPart(plan, std::move(part), fewest);
         }
     }
@@ -141,7 +141,7 @@
 }
 
 // Nothing when the text is not all of it, or out of bounds.
-static std::optional<RelayTerms> readTerms(const std::string &text)
+static std::optional<RelayParameters> readTerms(const std::string &text)
 {
     std::vector<std::int64_t> numbers;
     for (const auto &word : Core::splitList(text)) {
@@ -158,10 +158,10 @@
     before.executions = static_cast<std::int32_t>(numbers[5]);
     before.sends = static_cast<std::int32_t>(numbers[6]);
     before.counted = numbers[7] != 0;
-    return RelayTerms{.targetLeft = Core::milliseconds(numbers[0]),
-        .holdLeft = Core::milliseconds(numbers[1]),
-        .mayMiss = static_cast<std::size_t>(numbers[2]),
-        .mayDivide = numbers[3] != 0,
+    return RelayParameters{.timeLeftToTarget = Core::milliseconds(numbers[0]),
+        .timeLeftToDeadline = Core::milliseconds(numbers[1]),
+        .maximumMissing = static_cast<std::size_t>(numbers[2]),
+        .mayRelayFurther = numbers[3] != 0,
         .isHedge = numbers[4] != 0,
         .before = before,
         .shards = {},
@@ -194,16 +194,16 @@
     return bytes;
 }
 
-std::optional<RelayTerms> takeRelayTerms(Wire::Headers &headers)
+std::optional<RelayParameters> extractRelayParameters(Wire::Headers &headers)
 {
-    std::optional<RelayTerms> terms;
+    std::optional<RelayParameters> parameters;
     std::vector<Core::ServiceName> shards;
-    std::string leastRecord;
+    std::string minimumRecord;
     Fleet::AllowedRegions allowedRegions;
     std::optional<Fleet::WorkspaceName> workspace;
     std::erase_if(headers, [&](const Wire::Header &header) {
         if (Wire::sameName(header.name, RelayHeader::Terms)) {
-            terms = readTerms(header.value);
+            parameters = readTerms(header.value);
             return true;
         }
         if (Wire::sameName(header.name, RelayHeader::Shards)) {
@@ -212,8 +212,8 @@
             }
             return true;
         }
-        if (Wire::sameName(header.name, RelayHeader::LeastRecord)) {
-            leastRecord = fromHexadecimal(header.value);
+        if (Wire::sameName(header.name, RelayHeader::MinimumRecord)) {
+            minimumRecord = fromHexadecimal(header.value);
             return true;
         }
         if (Wire::sameName(header.name, RelayHeader::AllowedRegions)) {
@@ -227,42 +227,43 @@
         }
         return false;
     });
-    if (!terms.has_value() || shards.empty()) {
+    if (!parameters.has_value() || shards.empty()) {
         return std::nullopt;
     }
-    terms->shards = std::move(shards);
-    terms->leastRecord = std::move(leastRecord);
-    terms->allowedRegions = std::move(allowedRegions);
-    terms->workspace = std::move(workspace);
-    return terms;
+    parameters->shards = std::move(shards);
+    parameters->minimumRecord = std::move(minimumRecord);
+    parameters->allowedRegions = std::move(allowedRegions);
+    parameters->workspace = std::move(workspace);
+    return parameters;
 }
 
 std::string takeSendName(Wire::Headers &headers)
 {
-    return Wire::takeHeader(headers, RelayHeader::Send).value_or(std::string());
+    return Wire::extractHeader(headers, RelayHeader::Send).value_or(std::string());
 }
 
-void addRelayTerms(Wire::Headers &headers, const RelayTerms &terms)
+void addRelayParameters(Wire::Headers &headers, const RelayParameters &parameters)
 {
     std::vector<std::string> shards;
-    for (const auto &shard : terms.shards) {
+    for (const auto &shard : parameters.shards) {
         shards.push_back(shard.value());
     }
-    auto numbers = std::to_string(Core::toMilliseconds(terms.targetLeft)) + "," + std::to_string(Core::toMilliseconds(terms.holdLeft));
-    numbers += "," + std::to_string(terms.mayMiss) + (terms.mayDivide ? ",1" : ",0") + (terms.isHedge ? ",1" : ",0");
-    numbers += "," + std::to_string(terms.before.executions) + "," + std::to_string(terms.before.sends) + (terms.before.counted ? ",1" : ",0");
-    numbers += "," + std::to_string(terms.topRecords);
+    auto numbers
+        = std::to_string(Core::toMilliseconds(parameters.timeLeftToTarget)) + "," + std::to_string(Core::toMilliseconds(parameters.timeLeftToDeadline));
+    numbers += "," + std::to_string(parameters.maximumMissing) + (parameters.mayRelayFurther ? ",1" : ",0") + (parameters.isHedge ? ",1" : ",0");
+    numbers += "," + std::to_string(parameters.before.executions) + "," + std::to_string(parameters.before.sends) + (parameters.before.counted ? ",1" : ",0");
+    numbers += "," + std::to_string(parameters.topRecords);
     headers.push_back({RelayHeader::Terms, std::move(numbers)});
     headers.push_back({RelayHeader::Shards, Core::joinList(shards)});
-    if (!terms.allowedRegions.isAnywhere()) {
-        const auto &names = terms.allowedRegions.names().value();
+    if (!parameters.allowedRegions.isAnywhere()) {
+        const auto &names = parameters.allowedRegions.names().value();
         headers.push_back({RelayHeader::AllowedRegions, Core::joinList({names.begin(), names.end()})});
     }
-    if (terms.workspace.has_value()) {
-        headers.push_back({RelayHeader::Workspace, terms.workspace->value()});
+    if (parameters.workspace.has_value()) {
+        headers.push_back({RelayHeader::Workspace, parameters.workspace->value()});
     }
-    if (!terms.leastRecord.empty()) {
-        headers.push_back({RelayHeader::LeastRecord, toHexadecimal(terms.leastRecord)});
+    if (!parameters.minimumRecord.empty()) {
+        headers.push_back({RelayHeader::MinimumRecord, toHexadecimal(parameters.minimumRecord)});
     }
 }
 
@@ -285,7 +286,7 @@
     Dialect relay = dialect;
     relay.writeRequest = [write = dialect.writeRequest](std::string &bytes, const BackendRequest &request) {
         CallerRequest named = *request.caller;
-        // The other gateway goes by the part's terms.
+        // The other gateway goes by the part's parameters.
         named.workspace.reset();
         named.message.headers.push_back({RelayHeader::Send, std::to_string(request.number)});
         BackendRequest sent = request;
@@ -299,7 +300,7 @@
         const auto *name = Wire::findHeader(message.headers, RelayHeader::Send);
         return ReplyKey(name == nullptr ? std::string() : *name);
     };
-    // A gateway of a release before sends were named refuses parts, since it can't read their terms. A refusal that belonged to another send would
+    // A gateway of a release before sends were named refuses parts, since it can't read their parameters. A refusal that belonged to another send would
     // cost one send more and no answer.
     relay.isUnnamedRefusal = [](const Wire::Response &message) {
         return message.status == NotRunStatus;
--- a/Libraries/LibGateway/RelayPlan.h
+++ b/Libraries/LibGateway/RelayPlan.h
@@ -23,11 +23,11 @@
     /** The same for another region: two whole replies are more bytes than one part with their greatest records and signatures. */
     std::size_t fewestFarShards{2};
     /** A relayed part is given up after this many target latencies: its gateway is gone or stands still. Long enough for late answers. */
-    int targetsHeld{4};
+    int timeoutInTargets{4};
     /** Another gateway that is sound accepts a connection within this time. */
-    Core::Duration connectPatience{Core::milliseconds(100)};
+    Core::Duration connectTimeout{Core::milliseconds(100)};
     /** Another gateway's machine that runs acknowledges within a round trip, 24 ms between the farthest regions that we know of. */
-    Core::Duration silenceLimit{Core::milliseconds(80)};
+    Core::Duration acknowledgementTimeout{Core::milliseconds(80)};
 };
 
 /** A part of a search that one other gateway is asked for. */
@@ -36,11 +36,11 @@
     std::string zone;
     std::vector<Core::ServiceName> shards;
     /** Whether that gateway may give shards away in its turn; only one of the same region may, so that nothing goes in a circle. */
-    bool mayDivide{false};
+    bool mayRelayFurther{false};
     /** The shards are hedged: each was sent once already, and the repeat is paid for. */
     bool isHedge{false};
     /** Lesser records can't be among the greatest any more; empty when that is not known. */
-    std::string leastRecord;
+    std::string minimumRecord;
     /** The gateways that should be asked, the first of them first; any of the zone where there are none. */
     std::vector<BackendName> owners;
     /** What was done for each of its shards before; its service name is empty. */
@@ -55,7 +55,7 @@
     std::vector<Core::ServiceName> direct;
     std::vector<PartPlan> parts;
     /** See RelayOptions. */
-    int targetsHeld{4};
+    int timeoutInTargets{4};
     /** What was done before for each shard that is asked from here. */
     Protocol::MissingShard before;
 };
@@ -90,12 +90,12 @@
 /** Headers between gateways. They never go to a backend server, and callers' headers of these names are not trusted. */
 namespace RelayHeader
 {
-/** Numbers with commas between them: the fields of RelayTerms in their order, times in milliseconds. */
+/** Numbers with commas between them: the fields of RelayParameters in their order, times in milliseconds. */
 constexpr const char *Terms = "Crankrudder-Part-Terms";
 /** The services that are asked for, with commas between them. */
 constexpr const char *Shards = "Crankrudder-Shards";
 /** A record in hexadecimal: the answer needs none that is less. May be left out. */
-constexpr const char *LeastRecord = "Crankrudder-Least-Record";
+constexpr const char *MinimumRecord = "Crankrudder-Least-Record";
 /** Regions with commas between them: the search may be served in no others. Left out where any region will do. */
 constexpr const char *AllowedRegions = "Crankrudder-Allowed-Regions";
 /** The body is a partial answer. */
@@ -109,20 +109,20 @@
 }
 
 /** What one gateway asks of another besides the request itself. */
-struct RelayTerms {
+struct RelayParameters {
     /** After this long the answer should leave, if no more shards are missing than may be. */
-    Core::Duration targetLeft{0};
+    Core::Duration timeLeftToTarget{0};
     /** After this long it has to leave, whatever is missing. */
-    Core::Duration holdLeft{0};
+    Core::Duration timeLeftToDeadline{0};
     /** With more shards missing the whole search has most likely too few, so a late answer is worth more than one in time. */
-    std::size_t mayMiss{0};
+    std::size_t maximumMissing{0};
     /** See PartPlan. */
-    bool mayDivide{false};
+    bool mayRelayFurther{false};
     bool isHedge{false};
     Protocol::MissingShard before;
     std::vector<Core::ServiceName> shards;
     /** See PartPlan. */
-    std::string leastRecord;
+    std::string minimumRecord;
     /**
      * How many of the greatest records the asker wants, by its own declaration. The other gateway's may differ for a moment after a change, and a part
      * that was cut to fewer would lack records of the shards that it names.
@@ -137,14 +137,14 @@
     std::optional<Fleet::WorkspaceName> workspace;
 };
 
-/** Takes the terms out of a request's headers; nothing when they are not all there. */
-[[nodiscard]] std::optional<RelayTerms> takeRelayTerms(Wire::Headers &headers);
+/** Takes the parameters out of a request's headers; nothing when they are not all there. */
+[[nodiscard]] std::optional<RelayParameters> extractRelayParameters(Wire::Headers &headers);
 
 /** Takes the name of a send out of a request's headers; empty when there is none. */
 [[nodiscard]] std::string takeSendName(Wire::Headers &headers);
 
-/** Adds the terms to a request's headers. */
-void addRelayTerms(Wire::Headers &headers, const RelayTerms &terms);
+/** Adds the parameters to a request's headers. */
+void addRelayParameters(Wire::Headers &headers, const RelayParameters &parameters);
 
 /** What a relayed part looks like to the gateway that gives it away: one request that is not sent twice. */
 [[nodiscard]] std::shared_ptr<const Fleet::Route> makeRelayRoute(const Fleet::Route &route, const Core::ServiceName &relays);
--- a/Libraries/LibGateway/RelayedPart.cpp
+++ b/Libraries/LibGateway/RelayedPart.cpp
@@ -28,36 +28,36 @@
     const auto now = context.timers->now();
     // The other gateway answers so early that its part is here when the whole answer should leave.
     const auto way = scaled(context.relays->roundTripTo(this->relays), RelayWayFactor) + RelayOverhead;
-    this->terms = makeTerms(*context.settings, *this->relayRoute, this->request, *context.relayLatencies, now);
-    this->terms.giveUpAt = std::min(this->terms.giveUpAt, partTerms.giveUpAt);
-    this->terms.urgency = urgencyOf(context.workspace, route);
-    this->terms.preferred = plan.owners;
+    this->parameters = makeTerms(*context.settings, *this->relayRoute, this->request, *context.relayLatencies, now);
+    this->parameters.expiresAt = std::min(this->parameters.expiresAt, partTerms.expiresAt);
+    this->parameters.urgency = urgencyOf(context.workspace, route);
+    this->parameters.preferred = plan.owners;
     // The request's body is not to travel where it may not be served, either.
-    this->terms.allowedRegions = partTerms.allowedRegions;
-    addRelayTerms(this->request.message.headers,
-        RelayTerms{.targetLeft = std::max(Core::Duration(0), partTerms.targetAt - now - way),
-            .holdLeft = std::max(Core::Duration(0), this->terms.giveUpAt - now - way),
-            .mayMiss = partTerms.mayMiss,
-            .mayDivide = plan.mayDivide,
+    this->parameters.allowedRegions = partTerms.allowedRegions;
+    addRelayParameters(this->request.message.headers,
+        RelayParameters{.timeLeftToTarget = std::max(Core::Duration(0), partTerms.targetAt - now - way),
+            .timeLeftToDeadline = std::max(Core::Duration(0), this->parameters.expiresAt - now - way),
+            .maximumMissing = partTerms.maximumMissing,
+            .mayRelayFurther = plan.mayRelayFurther,
             .isHedge = plan.isHedge,
             .before = plan.before,
             .shards = plan.shards,
-            .leastRecord = plan.leastRecord,
+            .minimumRecord = plan.minimumRecord,
             .topRecords = partTerms.topRecords,
             .allowedRegions = partTerms.allowedRegions,
             .workspace = this->request.workspace});
-    this->relayCall = std::make_unique<ShardCall>(this->terms, this->relays, *context.relays, *context.timers);
+    this->relayCall = std::make_unique<ShardCall>(this->parameters, this->relays, *context.relays, *context.timers);
 }
 
 void RelayedPart::start(std::function<void()> finished)
 {
     this->relayCall->start([this, finished = std::move(finished)] {
-        this->takeOutcome();
+        this->handleOutcome();
         finished();
     });
 }
 
-void RelayedPart::takeOutcome()
+void RelayedPart::handleOutcome()
 {
     this->open = false;
     if (this->relayCall->state() != CallState::Answered) {
@@ -102,11 +102,11 @@
     return notAsked;
 }
 
-void RelayedPart::giveUp(bool callerGone)
+void RelayedPart::cancel(bool callerGone)
 {
     if (this->open) {
         this->open = false;
-        this->relayCall->giveUp(callerGone);
+        this->relayCall->cancel(callerGone);
     }
 }
 
@@ -115,9 +115,9 @@
     return this->open;
 }
 
-Core::Instant RelayedPart::giveUpAt() const
+Core::Instant RelayedPart::expiresAt() const
 {
-    return this->terms.giveUpAt;
+    return this->parameters.expiresAt;
 }
 
 bool RelayedPart::mayHaveRun() const
--- a/Libraries/LibGateway/RelayedPart.h
+++ b/Libraries/LibGateway/RelayedPart.h
@@ -19,9 +19,9 @@
 struct PartTerms {
     /** The whole answer should leave then. */
     Core::Instant targetAt;
-    Core::Instant giveUpAt;
-    /** See RelayTerms. */
-    std::size_t mayMiss{0};
+    Core::Instant expiresAt;
+    /** See RelayParameters. */
+    std::size_t maximumMissing{0};
     std::size_t topRecords{0};
     Fleet::AllowedRegions allowedRegions;
 };
@@ -37,10 +37,10 @@
     /** Asks. `finished` is called once, from here or later, unless the part is given up first. */
     void start(std::function<void()> finished);
 
-    void giveUp(bool callerGone);
+    void cancel(bool callerGone);
 
     [[nodiscard]] bool isOpen() const;
-    [[nodiscard]] Core::Instant giveUpAt() const;
+    [[nodiscard]] Core::Instant expiresAt() const;
     /** Whether any of its shards may have run there. */
     [[nodiscard]] bool mayHaveRun() const;
     /** Its shards are under way from here as well. */
@@ -60,7 +60,7 @@
     [[nodiscard]] std::vector<Protocol::MissingShard> missing() const;
 
 private:
-    void takeOutcome();
+    void handleOutcome();
     /** Whether the connection broke so soon after the part was sent that its shards were sent once at most. */
     [[nodiscard]] bool brokeAtOnce() const;
     /** The shards that an answer names as missing though they were not asked for, or named before. */
@@ -73,7 +73,7 @@
     Core::ServiceName relays;
     std::shared_ptr<const Fleet::Route> relayRoute;
     CallerRequest request;
-    CallTerms terms;
+    CallParameters parameters;
     std::unique_ptr<ShardCall> relayCall;
     bool open{true};
     Protocol::PartialAnswer partial;
--- a/Libraries/LibGateway/RequestSettings.h
+++ b/Libraries/LibGateway/RequestSettings.h
@@ -29,7 +29,7 @@
     /** The usual latency, as a part of the target, before any was measured. */
     double assumedLatencyShare{0.15};
     /** Given to the caller as the time to come back after when nothing ran. */
-    Core::Duration comeBackAfter{Core::milliseconds(150)};
+    Core::Duration retryAfter{Core::milliseconds(150)};
     /** The same while this gateway does not know yet what is declared: about what is left of a start. Callers come back once, so sooner would be in vain. */
     Core::Duration comeBackAfterStart{Core::milliseconds(600)};
     /** Kept back from the time that a request may take, so that its answer is out before the time is over. */
--- a/Libraries/LibGateway/RepeatBudget.cpp
+++ b/Libraries/LibGateway/RetryBudget.cpp
@@ -3,16 +3,16 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibGateway/RepeatBudget.h>
+#include <LibGateway/RetryBudget.h>
 
 namespace Gateway
 {
 
-RepeatBudget::RepeatBudget(RepeatBudgetOptions options) : options(options)
+RetryBudget::RetryBudget(RetryBudgetOptions options) : options(options)
 {
 }
 
-RepeatBudget::Slice &RepeatBudget::sliceAt(Core::Instant now)
+RetryBudget::Slice &RetryBudget::sliceAt(Core::Instant now)
 {
     const std::int64_t number = now.sinceStart() / (this->options.window / SlicesInWindow);
     auto &slice = this->slices[static_cast<std::size_t>(number % SliceCount)];
@@ -22,12 +22,12 @@
     return slice;
 }
 
-void RepeatBudget::noteRequest(Core::Instant now)
+void RetryBudget::recordRequest(Core::Instant now)
 {
     ++this->sliceAt(now).requests;
 }
 
-bool RepeatBudget::takeRepeat(Core::Instant now, double slackShare)
+bool RetryBudget::consumeRetry(Core::Instant now, double slackShare)
 {
     auto &current = this->sliceAt(now);
     double requests = 0.0;
--- a/Libraries/LibGateway/RepeatBudget.h
+++ b/Libraries/LibGateway/RetryBudget.h
@@ -18,7 +18,7 @@
 {
 
 /** The budget of the whole deployment for one service. */
-struct RepeatBudgetOptions {
+struct RetryBudgetOptions {
     /** Repeats for each request. */
     double ratio{0.2};
     /** Repeats allowed on top, in one window, by all gateways together. */
@@ -31,15 +31,15 @@
 };
 
 /** Counts requests and repeats in a sliding window. */
-class RepeatBudget
+class RetryBudget
 {
 public:
-    explicit RepeatBudget(RepeatBudgetOptions options = {});
+    explicit RetryBudget(RetryBudgetOptions options = {});
 
-    void noteRequest(Core::Instant now);
+    void recordRequest(Core::Instant now);
 
     /** Takes one repeat out of the budget; false when there is none left. `slackShare` is the part of the slack that is this gateway's, up to 1. */
-    [[nodiscard]] bool takeRepeat(Core::Instant now, double slackShare);
+    [[nodiscard]] bool consumeRetry(Core::Instant now, double slackShare);
 
 private:
     // One slice more than a window has, so that each span of its length lies within what is counted.
@@ -53,7 +53,7 @@
 
     [[nodiscard]] Slice &sliceAt(Core::Instant now);
 
-    RepeatBudgetOptions options;
+    RetryBudgetOptions options;
     std::array<Slice, static_cast<std::size_t>(SliceCount)> slices{};
 };
 
--- a/Libraries/LibGateway/RoutedRequest.cpp
+++ b/Libraries/LibGateway/RoutedRequest.cpp
@@ -58,21 +58,21 @@
     return {.workspace = workspace == nullptr ? 0 : workspace->priority, .route = route.priority};
 }
 
-CallTerms makeTerms(
+CallParameters makeTerms(
     const RequestSettings &settings, const Fleet::Route &route, const CallerRequest &request, const Core::LatencyDigest &latencies, Core::Instant now)
 {
-    const auto patience = request.patience.value_or(settings.defaultPatience);
-    CallTerms terms;
-    terms.request = &request;
-    terms.route = &route;
-    terms.deadline = now + patience;
-    terms.targetAt = now + timeToTarget(settings, route);
-    terms.giveUpAt = now + std::min(patience, route.timeout) - settings.answerReserve;
-    terms.typicalLatency = typicalLatencyOf(settings, route, latencies);
-    terms.allowedRegions = route.allowedRegions;
+    const auto callerTimeout = request.callerTimeout.value_or(settings.defaultPatience);
+    CallParameters parameters;
+    parameters.request = &request;
+    parameters.route = &route;
+    parameters.deadline = now + callerTimeout;
+    parameters.targetAt = now + timeToTarget(settings, route);
+    parameters.expiresAt = now + std::min(callerTimeout, route.timeout) - settings.answerReserve;
+    parameters.typicalLatency = typicalLatencyOf(settings, route, latencies);
+    parameters.allowedRegions = route.allowedRegions;
     const auto ceiling = std::max(settings.hedgeFloor, scaled(route.targetLatency, settings.hedgeCeilingShare));
-    terms.hedgeDelay = std::clamp(scaled(terms.typicalLatency, settings.hedgeFactor), settings.hedgeFloor, ceiling);
-    return terms;
+    parameters.hedgeDelay = std::clamp(scaled(parameters.typicalLatency, settings.hedgeFactor), settings.hedgeFloor, ceiling);
+    return parameters;
 }
 
 RoutedRequest::RoutedRequest(RequestContext context, std::shared_ptr<const Fleet::RouteTable> routes, const Fleet::Route &route, CallerRequest request)
@@ -80,17 +80,17 @@
     , routes(std::move(routes))
     , route(route)
     , request(std::move(request))
-    , terms(makeTerms(*context.settings, route, this->request, *context.latencies, context.timers->now() - this->request.waited))
+    , parameters(makeTerms(*context.settings, route, this->request, *context.latencies, context.timers->now() - this->request.waited))
     , arrivedAt(context.timers->now() - this->request.waited)
 {
-    this->terms.urgency = urgencyOf(context.workspace, route);
+    this->parameters.urgency = urgencyOf(context.workspace, route);
     if (context.workspace != nullptr) {
-        this->terms.allowedRegions = this->terms.allowedRegions.intersectedWith(context.workspace->allowedRegions);
+        this->parameters.allowedRegions = this->parameters.allowedRegions.intersectedWith(context.workspace->allowedRegions);
     }
-    if (context.relayTerms.has_value()) {
-        this->terms.targetAt = this->arrivedAt + context.relayTerms->targetLeft;
-        this->terms.giveUpAt = std::min(this->terms.giveUpAt, this->arrivedAt + context.relayTerms->holdLeft);
-        this->terms.allowedRegions = this->terms.allowedRegions.intersectedWith(context.relayTerms->allowedRegions);
+    if (context.relayParameters.has_value()) {
+        this->parameters.targetAt = this->arrivedAt + context.relayParameters->timeLeftToTarget;
+        this->parameters.expiresAt = std::min(this->parameters.expiresAt, this->arrivedAt + context.relayParameters->timeLeftToDeadline);
+        this->parameters.allowedRegions = this->parameters.allowedRegions.intersectedWith(context.relayParameters->allowedRegions);
     }
 }
 
@@ -103,7 +103,7 @@
 
 std::unique_ptr<ShardCall> RoutedRequest::makeCall(const Core::ServiceName &service)
 {
-    return std::make_unique<ShardCall>(this->terms, service, *this->context.pool, *this->context.timers);
+    return std::make_unique<ShardCall>(this->parameters, service, *this->context.pool, *this->context.timers);
 }
 
 void RoutedRequest::start(AnswerHook answer, FinishedHook finished)
@@ -113,7 +113,7 @@
     this->withoutCompleting([this] {
         this->startCalls();
     });
-    this->scheduleLook(this->arrivedAt + this->terms.hedgeDelay);
+    this->scheduleLook(this->arrivedAt + this->parameters.hedgeDelay);
     this->callFinished();
 }
 
@@ -133,19 +133,19 @@
 
 bool RoutedRequest::isTargetDue() const
 {
-    return this->now() >= this->terms.targetAt;
+    return this->now() >= this->parameters.targetAt;
 }
 
 bool RoutedRequest::isTimeUp() const
 {
-    return this->now() >= this->terms.giveUpAt;
+    return this->now() >= this->parameters.expiresAt;
 }
 
 void RoutedRequest::scheduleLook(Core::Instant due)
 {
-    auto wanted = std::min(due, this->terms.giveUpAt);
+    auto wanted = std::min(due, this->parameters.expiresAt);
     if (!this->isTargetDue()) {
-        wanted = std::min(wanted, this->terms.targetAt);
+        wanted = std::min(wanted, this->parameters.targetAt);
     }
     this->lookTimer = this->context.timers->once(std::max(Core::Duration(0), wanted - this->now()), [this](Core::Instant) {
         this->look();
@@ -155,11 +155,11 @@
 void RoutedRequest::look()
 {
     if (this->isTimeUp()) {
-        this->giveUpCalls(false);
+        this->cancelCalls(false);
         this->callFinished();
         return;
     }
-    auto next = this->terms.giveUpAt;
+    auto next = this->parameters.expiresAt;
     this->withoutCompleting([this, &next] {
         next = this->lookAtCalls();
     });
@@ -168,15 +168,15 @@
     this->callFinished();
 }
 
-void RoutedRequest::keepTo(const Fleet::RouteTable &newer)
+void RoutedRequest::restrictTo(const Fleet::RouteTable &newer)
 {
     const auto *same = newer.match(this->request.host, this->request.message.target);
     if (same != nullptr) {
-        this->terms.allowedRegions = this->terms.allowedRegions.intersectedWith(same->allowedRegions);
+        this->parameters.allowedRegions = this->parameters.allowedRegions.intersectedWith(same->allowedRegions);
     }
     const auto *workspace = this->request.workspace.has_value() ? newer.declaration().workspaceNamed(this->request.workspace.value()) : nullptr;
     if (workspace != nullptr) {
-        this->terms.allowedRegions = this->terms.allowedRegions.intersectedWith(workspace->allowedRegions);
+        this->parameters.allowedRegions = this->parameters.allowedRegions.intersectedWith(workspace->allowedRegions);
     }
 }
 
@@ -185,7 +185,7 @@
     if (this->done) {
         return;
     }
-    this->giveUpCalls(true);
+    this->cancelCalls(true);
     this->answerHook = nullptr;
     this->complete(Wire::Response{}, RequestOutcome::CallerGone);
 }
@@ -194,7 +194,7 @@
 {
     const auto refusal = !mayHaveRun ? Refusal::NotRun : this->isTimeUp() ? Refusal::TimedOut : Refusal::Failed;
     const auto outcome = !mayHaveRun ? RequestOutcome::NotRun : this->isTimeUp() ? RequestOutcome::TimedOut : RequestOutcome::Failed;
-    this->complete(this->context.dialect->writeRefusal(refusal, this->request.id, this->context.settings->comeBackAfter), outcome);
+    this->complete(this->context.dialect->writeRefusal(refusal, this->request.id, this->context.settings->retryAfter), outcome);
 }
 
 void RoutedRequest::describeCall(RequestSummary &summary, const ShardCall &call)
--- a/Libraries/LibGateway/RoutedRequest.h
+++ b/Libraries/LibGateway/RoutedRequest.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What every request of a caller has from its route to its answer: terms, looks
+// What every request of a caller has from its route to its answer: parameters, looks
 // at what is late, a summary. SingleRequest and FanOutRequest are the two kinds.
 
 #pragma once
@@ -71,7 +71,7 @@
     /** Whose request it is; nullptr where nobody's. Belongs to the declaration of the route. */
     const Fleet::Workspace *workspace{nullptr};
     /** What another gateway wants that asks for a part of a search. */
-    std::optional<RelayTerms> relayTerms;
+    std::optional<RelayParameters> relayParameters;
 };
 
 /** Lives until it is answered; its owner drops it when `finished` is called. */
@@ -91,7 +91,7 @@
     void start(AnswerHook answer, FinishedHook finished);
 
     /** A newer declaration has come into force: what is sent from now on keeps to what it allows for the route, too. */
-    void keepTo(const Fleet::RouteTable &newer);
+    void restrictTo(const Fleet::RouteTable &newer);
 
     /** The caller went away: nothing is sent any more, and what runs is cancelled. */
     void callerGone();
@@ -104,7 +104,7 @@
     /** Hedges what is late. Returns when to look again at the latest. */
     [[nodiscard]] virtual Core::Instant lookAtCalls() = 0;
     /** Ends all calls. */
-    virtual void giveUpCalls(bool callerIsGone) = 0;
+    virtual void cancelCalls(bool callerIsGone) = 0;
     /** Adds what the calls know. */
     virtual void describe(RequestSummary &summary) const = 0;
 
@@ -123,7 +123,7 @@
     std::shared_ptr<const Fleet::RouteTable> routes;
     const Fleet::Route &route;
     CallerRequest request;
-    CallTerms terms;
+    CallParameters parameters;
     Core::Instant arrivedAt;
 
 private:
@@ -146,8 +146,8 @@
 /** How urgent a workspace's requests for a route are; nobody's are as urgent as the most urgent workspace's. */
 [[nodiscard]] Urgency urgencyOf(const Fleet::Workspace *workspace, const Fleet::Route &route);
 
-/** The terms of a request's calls, without their urgency. */
-[[nodiscard]] CallTerms makeTerms(
+/** The parameters of a request's calls, without their urgency. */
+[[nodiscard]] CallParameters makeTerms(
     const RequestSettings &settings, const Fleet::Route &route, const CallerRequest &request, const Core::LatencyDigest &latencies, Core::Instant now);
 
 }
--- a/Libraries/LibGateway/ShardCall.cpp
+++ b/Libraries/LibGateway/ShardCall.cpp
@@ -15,8 +15,8 @@
 // What a hedge may be expected to take once the target has passed; less than the penalty of one that looks stuck.
 static constexpr Core::Duration LateHedgeLimit = Core::milliseconds(250);
 
-ShardCall::ShardCall(const CallTerms &terms, Core::ServiceName service, BackendPool &pool, Core::TimerService &timers)
-    : terms(terms), serviceName(std::move(service)), pool(pool), timers(timers)
+ShardCall::ShardCall(const CallParameters &parameters, Core::ServiceName service, BackendPool &pool, Core::TimerService &timers)
+    : parameters(parameters), serviceName(std::move(service)), pool(pool), timers(timers)
 {
 }
 
@@ -48,9 +48,9 @@
         // The other gateway has counted it.
     } else if (this->earlierSends == 0) {
         if (!this->countedEarlier) {
-            this->pool.noteRequest(this->serviceName);
+            this->pool.recordRequest(this->serviceName);
         }
-    } else if (!this->pool.takeRepeat(this->serviceName)) {
+    } else if (!this->pool.consumeRetry(this->serviceName)) {
         this->reason = "no repeat left in the budget";
         this->finish(this->executionCount > 0 ? CallState::Failed : CallState::NotRun);
         return;
@@ -62,32 +62,32 @@
 {
     return {.service = this->serviceName,
         .tried = this->tried,
-        .typicalLatency = this->terms.typicalLatency,
-        .allowedRegions = this->terms.allowedRegions,
+        .typicalLatency = this->parameters.typicalLatency,
+        .allowedRegions = this->parameters.allowedRegions,
         .within = within,
-        .request = this->terms.request};
+        .request = this->parameters.request};
 }
 
 void ShardCall::tryNext()
 {
-    auto *backend = this->pool.firstSound(this->terms.preferred, this->wanted());
+    auto *backend = this->pool.firstSound(this->parameters.preferred, this->wanted());
     if (backend == nullptr) {
         backend = this->pool.choose(this->wanted());
     }
     if (backend != nullptr) {
         this->sendTo(*backend);
     } else if (this->running.empty()) {
-        this->waitForRoom();
+        this->waitForCapacity();
     }
 }
 
-void ShardCall::waitForRoom()
+void ShardCall::waitForCapacity()
 {
     this->current = CallState::Waiting;
     if (this->waiter.has_value()) {
         return;
     }
-    this->waiter = this->pool.waitForRoom(this->serviceName, this->terms.urgency, [this] {
+    this->waiter = this->pool.waitForCapacity(this->serviceName, this->parameters.urgency, [this] {
         this->waiter.reset();
         this->tryNext();
     });
@@ -100,20 +100,20 @@
     const auto name = backend.name;
     this->tried.push_back(name);
     ++this->sends;
-    const auto timeLeft = std::min(this->terms.deadline, this->terms.giveUpAt) - now;
+    const auto timeLeft = std::min(this->parameters.deadline, this->parameters.expiresAt) - now;
     auto told = timeLeft;
-    if (this->terms.workLimit != nullptr) {
-        told = this->terms.workLimit->timeFor(timeLeft, this->terms.targetAt - now, this->terms.typicalLatency, now);
+    if (this->parameters.workLimit != nullptr) {
+        told = this->parameters.workLimit->timeFor(timeLeft, this->parameters.targetAt - now, this->parameters.typicalLatency, now);
     }
     const std::weak_ptr<int> weak = this->alive;
     const auto id = this->pool.send(backend,
-        AttemptOptions{.caller = this->terms.request,
+        AttemptOptions{.caller = this->parameters.request,
             .timeLeft = told,
-            .typicalLatency = this->terms.typicalLatency,
-            .allowedRegions = this->terms.allowedRegions,
+            .typicalLatency = this->parameters.typicalLatency,
+            .allowedRegions = this->parameters.allowedRegions,
             .done = [this, weak, name](const AttemptOutcome &outcome) {
                 if (!weak.expired()) {
-                    this->takeOutcome(name, outcome);
+                    this->handleOutcome(name, outcome);
                 }
             }});
     const auto limit = told < timeLeft ? std::optional(told) : std::nullopt;
@@ -122,14 +122,14 @@
 
 bool ShardCall::mayTryAnother() const
 {
-    const bool attemptsLeft = this->executions() + static_cast<int>(this->running.size()) < this->terms.route->maximumAttempts;
-    const bool timeLeft = this->timers.now() < std::min(this->terms.deadline, this->terms.giveUpAt);
+    const bool attemptsLeft = this->executions() + static_cast<int>(this->running.size()) < this->parameters.route->maximumAttempts;
+    const bool timeLeft = this->timers.now() < std::min(this->parameters.deadline, this->parameters.expiresAt);
     return attemptsLeft && timeLeft;
 }
 
 bool ShardCall::isLateHedgeable() const
 {
-    return this->current == CallState::UnderWay && !this->running.empty() && this->terms.route->idempotent && this->mayTryAnother();
+    return this->current == CallState::UnderWay && !this->running.empty() && this->parameters.route->idempotent && this->mayTryAnother();
 }
 
 std::optional<Core::Instant> ShardCall::hedgeIfDue()
@@ -148,16 +148,16 @@
         return {};
     }
     const auto now = this->timers.now();
-    const auto due = this->running.back().startedAt + this->terms.hedgeDelay;
+    const auto due = this->running.back().startedAt + this->parameters.hedgeDelay;
     if (now < due) {
         return {.candidate = nullptr, .lookAgainAt = due};
     }
     // Worth a repeat only where it is expected to be in time; after the target, anywhere that does not look stuck.
-    const auto within = now < this->terms.targetAt ? this->terms.targetAt - now : LateHedgeLimit;
+    const auto within = now < this->parameters.targetAt ? this->parameters.targetAt - now : LateHedgeLimit;
     auto *backend = this->pool.choose(this->wanted(within));
     if (backend == nullptr) {
         // Nobody sound has room just now; worth another look soon.
-        return {.candidate = nullptr, .lookAgainAt = now + this->terms.hedgeDelay / 2};
+        return {.candidate = nullptr, .lookAgainAt = now + this->parameters.hedgeDelay / 2};
     }
     return {.candidate = backend, .lookAgainAt = std::nullopt};
 }
@@ -172,7 +172,7 @@
         this->sendTo(candidate);
         return;
     }
-    if (this->pool.takeRepeat(this->serviceName)) {
+    if (this->pool.consumeRetry(this->serviceName)) {
         ++this->hedgeCount;
         this->sendTo(candidate);
     }
@@ -184,7 +184,7 @@
         // Better sent from here, since it is no repeat then.
         return false;
     }
-    if (!this->pool.takeRepeat(this->serviceName)) {
+    if (!this->pool.consumeRetry(this->serviceName)) {
         return false;
     }
     ++this->hedgeCount;
@@ -198,7 +198,7 @@
     this->executionCount += executions;
 }
 
-void ShardCall::takeOutcome(const BackendName &backend, const AttemptOutcome &outcome)
+void ShardCall::handleOutcome(const BackendName &backend, const AttemptOutcome &outcome)
 {
     const auto position = std::find_if(this->running.begin(), this->running.end(), [&backend](const Running &attempt) {
         return attempt.backend == backend;
@@ -210,7 +210,7 @@
     this->running.erase(position);
     switch (outcome.end) {
     case AttemptEnd::Replied:
-        this->takeReply(outcome.reply, attempt);
+        this->handleReply(outcome.reply, attempt);
         break;
     case AttemptEnd::NotSent:
         this->reason = outcome.reason;
@@ -228,18 +228,18 @@
 
 void ShardCall::noteLimit(const Running &attempt, bool answered)
 {
-    if (!attempt.limit.has_value() || this->terms.workLimit == nullptr) {
+    if (!attempt.limit.has_value() || this->parameters.workLimit == nullptr) {
         return;
     }
     const auto now = this->timers.now();
     if (answered) {
-        this->terms.workLimit->noteAnswered(now);
+        this->parameters.workLimit->recordAnswered(now);
     } else if (now - attempt.startedAt >= attempt.limit.value()) {
-        this->terms.workLimit->noteCut(now);
+        this->parameters.workLimit->noteCut(now);
     }
 }
 
-void ShardCall::takeReply(const BackendReply &incoming, const Running &attempt)
+void ShardCall::handleReply(const BackendReply &incoming, const Running &attempt)
 {
     this->noteLimit(attempt, incoming.isSuccess());
     if (incoming.notExecuted || incoming.wrongBackend) {
@@ -272,7 +272,7 @@
         return;
     }
     const bool nothingRan = this->executions() == 0;
-    const bool allowed = (this->terms.route->idempotent || nothingRan) && this->refusals < MaximumRefusals && this->mayTryAnother();
+    const bool allowed = (this->parameters.route->idempotent || nothingRan) && this->refusals < MaximumRefusals && this->mayTryAnother();
     const bool wasSent = otherwise != CallState::NotRun || this->refusals > 0;
     // Once all have refused, those that only refused may be asked again: they did not run it.
     const auto choice = [this] {
@@ -285,7 +285,7 @@
         this->refusedBy.clear();
     }
     if (allowed && choice() != nullptr) {
-        if (!wasSent || this->pool.takeRepeat(this->serviceName)) {
+        if (!wasSent || this->pool.consumeRetry(this->serviceName)) {
             this->tryNext();
             return;
         }
@@ -319,7 +319,7 @@
     }
 }
 
-void ShardCall::giveUp(bool callerGone)
+void ShardCall::cancel(bool callerGone)
 {
     if (isFinished(this->current)) {
         return;
--- a/Libraries/LibGateway/ShardCall.h
+++ b/Libraries/LibGateway/ShardCall.h
@@ -16,13 +16,13 @@
 {
 
 /** What stays the same for all shards of a request. Outlives its calls. */
-struct CallTerms {
+struct CallParameters {
     const CallerRequest *request{nullptr};
     const Fleet::Route *route{nullptr};
     /** The caller gives up then. */
     Core::Instant deadline;
     /** Nothing is held for longer than until then. */
-    Core::Instant giveUpAt;
+    Core::Instant expiresAt;
     /** An answer should leave then to be in time. */
     Core::Instant targetAt;
     /** What such a request usually takes. */
@@ -73,7 +73,7 @@
 class ShardCall
 {
 public:
-    ShardCall(const CallTerms &terms, Core::ServiceName service, BackendPool &pool, Core::TimerService &timers);
+    ShardCall(const CallParameters &parameters, Core::ServiceName service, BackendPool &pool, Core::TimerService &timers);
     ~ShardCall();
     ShardCall(const ShardCall &) = delete;
     ShardCall &operator=(const ShardCall &) = delete;
@@ -107,7 +107,7 @@
     void cameBack(int executions);
 
     /** Gives up. Attempts under way are abandoned; the state says whether any may have run. */
-    void giveUp(bool callerGone);
+    void cancel(bool callerGone);
 
     [[nodiscard]] CallState state() const;
     [[nodiscard]] const Core::ServiceName &service() const;
@@ -136,9 +136,9 @@
     [[nodiscard]] Wanted wanted(std::optional<Core::Duration> within = std::nullopt) const;
     void tryNext();
     void sendTo(Backend &backend);
-    void waitForRoom();
-    void takeOutcome(const BackendName &backend, const AttemptOutcome &outcome);
-    void takeReply(const BackendReply &incoming, const Running &attempt);
+    void waitForCapacity();
+    void handleOutcome(const BackendName &backend, const AttemptOutcome &outcome);
+    void handleReply(const BackendReply &incoming, const Running &attempt);
     void noteLimit(const Running &attempt, bool answered);
     void retryOrFinish(CallState otherwise);
     void finish(CallState end);
@@ -147,7 +147,7 @@
     void abandonRunning(bool callerGone);
     [[nodiscard]] bool mayTryAnother() const;
 
-    const CallTerms &terms;
+    const CallParameters &parameters;
     Core::ServiceName serviceName;
     BackendPool &pool;
     Core::TimerService &timers;
--- a/Libraries/LibGateway/SingleRequest.cpp
+++ b/Libraries/LibGateway/SingleRequest.cpp
@@ -18,9 +18,9 @@
 
 void SingleRequest::startCalls()
 {
-    if (!this->context.pool->hasEligible(this->call->service(), this->terms.allowedRegions)) {
+    if (!this->context.pool->hasEligible(this->call->service(), this->parameters.allowedRegions)) {
         // Nobody could run it; check() refuses it at once.
-        this->call->giveUp(false);
+        this->call->cancel(false);
         return;
     }
     this->call->start([this] {
@@ -36,10 +36,10 @@
         break;
     case CallState::Answered:
         this->context.latencies->add(this->call->latency());
-        this->complete(this->context.dialect->passOn(std::move(this->call->reply())), RequestOutcome::Answered);
+        this->complete(this->context.dialect->forwardReply(std::move(this->call->reply())), RequestOutcome::Answered);
         break;
     case CallState::FailedWithReply:
-        this->complete(this->context.dialect->passOn(std::move(this->call->reply())), RequestOutcome::FailedByBackend);
+        this->complete(this->context.dialect->forwardReply(std::move(this->call->reply())), RequestOutcome::FailedByBackend);
         break;
     case CallState::Failed:
     case CallState::FailedUnacknowledged:
@@ -51,22 +51,22 @@
 
 Core::Instant SingleRequest::lookAtCalls()
 {
-    auto next = this->call->hedgeIfDue().value_or(this->terms.giveUpAt);
+    auto next = this->call->hedgeIfDue().value_or(this->parameters.expiresAt);
     if (this->call->state() != CallState::Waiting) {
         return next;
     }
     // Refused early rather than served late: the caller comes back, perhaps to a gateway with room.
     const auto roomUntil = this->arrivedAt + scaled(this->route.targetLatency, this->context.settings->roomWaitShare);
     if (this->now() >= roomUntil) {
-        this->call->giveUp(false);
+        this->call->cancel(false);
         return next;
     }
     return std::min(next, roomUntil);
 }
 
-void SingleRequest::giveUpCalls(bool callerIsGone)
+void SingleRequest::cancelCalls(bool callerIsGone)
 {
-    this->call->giveUp(callerIsGone);
+    this->call->cancel(callerIsGone);
 }
 
 void SingleRequest::describe(RequestSummary &summary) const
--- a/Libraries/LibGateway/SingleRequest.h
+++ b/Libraries/LibGateway/SingleRequest.h
@@ -26,7 +26,7 @@
     void startCalls() override;
     void check() override;
     [[nodiscard]] Core::Instant lookAtCalls() override;
-    void giveUpCalls(bool callerIsGone) override;
+    void cancelCalls(bool callerIsGone) override;
     void describe(RequestSummary &summary) const override;
 
 private:
--- a/Libraries/LibGateway/ColdAllowance.cpp
+++ b/Libraries/LibGateway/WarmupLimiter.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include <LibGateway/ColdAllowance.h>
+#include <LibGateway/WarmupLimiter.h>
 
 #include <algorithm>
 #include <cmath>
@@ -26,16 +26,16 @@
     return shares ? half / sharers : 0;
 }
 
-ColdAllowance::ColdAllowance(ColdOptions options) : options(options)
+WarmupLimiter::WarmupLimiter(WarmupOptions options) : options(options)
 {
 }
 
-int ColdAllowance::total(double requestsPerSecond) const
+int WarmupLimiter::total(double requestsPerSecond) const
 {
     return static_cast<int>(std::floor(requestsPerSecond * this->options.overshoot + this->options.slack));
 }
 
-bool ColdAllowance::isWithin(const BackendName &backend, int share, Core::Instant now) const
+bool WarmupLimiter::isWithin(const BackendName &backend, int share, Core::Instant now) const
 {
     const auto found = this->sends.find(backend);
     if (found == this->sends.end()) {
@@ -47,12 +47,12 @@
     return inWindow < share;
 }
 
-void ColdAllowance::note(const BackendName &backend, Core::Instant now)
+void WarmupLimiter::note(const BackendName &backend, Core::Instant now)
 {
     this->sends[backend].push_back(now);
 }
 
-void ColdAllowance::forget(Core::Instant now)
+void WarmupLimiter::forget(Core::Instant now)
 {
     for (auto &[backend, times] : this->sends) {
         while (!times.empty() && now - times.front() > Window) {
--- a/Libraries/LibGateway/ColdAllowance.h
+++ b/Libraries/LibGateway/WarmupLimiter.h
@@ -19,7 +19,7 @@
 {
 
 /** What a cold backend server gets beyond what is declared that it bears; the platform's settings tell both. */
-struct ColdOptions {
+struct WarmupOptions {
     /** Times the declared rate. */
     double overshoot{1.0};
     /** Requests in a second, besides. */
@@ -43,10 +43,10 @@
 [[nodiscard]] int shareOfCold(const ColdPart &part);
 
 /** Counts what was sent to each backend server while it was cold. */
-class ColdAllowance
+class WarmupLimiter
 {
 public:
-    explicit ColdAllowance(ColdOptions options);
+    explicit WarmupLimiter(WarmupOptions options);
 
     /** Requests in any second from all gateways together, for a declared rate. */
     [[nodiscard]] int total(double requestsPerSecond) const;
@@ -60,7 +60,7 @@
     void forget(Core::Instant now);
 
 private:
-    ColdOptions options;
+    WarmupOptions options;
     // Times of sends, the oldest first. Invariant: none is empty.
     std::map<BackendName, std::deque<Core::Instant>> sends;
 };
--- a/Libraries/LibGateway/WorkLimit.cpp
+++ b/Libraries/LibGateway/WorkLimit.cpp
@@ -37,7 +37,7 @@
     this->shareTime = now;
 }
 
-void WorkLimit::noteAnswered(Core::Instant now)
+void WorkLimit::recordAnswered(Core::Instant now)
 {
     this->note(0.0, now);
 }
--- a/Libraries/LibGateway/WorkLimit.h
+++ b/Libraries/LibGateway/WorkLimit.h
@@ -36,7 +36,7 @@
     [[nodiscard]] Core::Duration timeFor(Core::Duration timeLeft, Core::Duration untilTarget, Core::Duration typicalLatency, Core::Instant now) const;
 
     /** A send with a limit was answered within it. */
-    void noteAnswered(Core::Instant now);
+    void recordAnswered(Core::Instant now);
     /** A send ended without an answer once its limit was over. */
     void noteCut(Core::Instant now);
 
--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-std::size_t HttpClient::underWay() const
+std::size_t HttpClient::inFlight() const
 {
     return this->exchanges.size();
 }
@@ -49,7 +49,7 @@
 {
     // Hosts come and go; a session that nobody used for long goes with its connections.
     std::erase_if(this->sessions, [now](const auto &item) {
-        return item.second.underWay == 0 && now - item.second.lastUsedMicroseconds > SessionLifetimeMicroseconds;
+        return item.second.inFlight == 0 && now - item.second.lastUsedMicroseconds > SessionLifetimeMicroseconds;
     });
 }
 
@@ -81,7 +81,7 @@
     g_signal_connect(message, "starting", G_CALLBACK(starting), exchange.get());
     exchange->sessionKey = SessionKey{.endpoint = request.endpoint, .connectionsPerHost = request.connectionsPerHost};
     auto &session = this->sessionFor(exchange->sessionKey);
-    ++session.underWay;
+    ++session.inFlight;
     auto *finish = new Finish{.client = this, .alive = this->alive, .id = id};
     soup_session_send_and_read_async(session.session.get(), message, G_PRIORITY_DEFAULT, exchange->cancellable.get(), responseArrived, finish);
     this->exchanges.emplace(id, std::move(exchange));
@@ -105,7 +105,7 @@
     }
     const auto exchange = std::move(found->second);
     client.exchanges.erase(found);
-    --client.sessions[exchange->sessionKey].underWay;
+    --client.sessions[exchange->sessionKey].inFlight;
     g_signal_handlers_disconnect_by_data(exchange->message.get(), exchange.get());
 
     ClientResult answer;
@@ -136,7 +136,7 @@
     }
     const auto exchange = std::move(found->second);
     this->exchanges.erase(found);
-    --this->sessions[exchange->sessionKey].underWay;
+    --this->sessions[exchange->sessionKey].inFlight;
     g_signal_handlers_disconnect_by_data(exchange->message.get(), exchange.get());
     g_cancellable_cancel(exchange->cancellable.get());
 }
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -72,7 +72,7 @@
     /** Ends an exchange without calling its hook; its connection is closed, which tells the server. */
     void cancel(ExchangeId id);
 
-    [[nodiscard]] std::size_t underWay() const;
+    [[nodiscard]] std::size_t inFlight() const;
 
 private:
     struct SessionKey {
@@ -82,7 +82,7 @@
     };
     struct Session {
         Core::ObjectPointer<SoupSession> session;
-        std::size_t underWay{0};
+        std::size_t inFlight{0};
         std::int64_t lastUsedMicroseconds{0};
     };
 
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -125,7 +125,7 @@
     return this->counts;
 }
 
-std::size_t HttpServer::requestsUnderWay() const
+std::size_t HttpServer::requestsInFlight() const
 {
     return this->connections->requests;
 }
@@ -156,7 +156,7 @@
     }
     ++this->counts.accepted;
     ++this->connections->open;
-    this->counts.mostConnections = std::max(this->counts.mostConnections, this->connections->open);
+    this->counts.peakConnections = std::max(this->counts.peakConnections, this->connections->open);
     const auto counted = this->connections;
     auto *open = new OpenConnection{.closed = [counted] {
         --counted->open;
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -44,7 +44,7 @@
     std::uint64_t refused{0};
     std::uint64_t requests{0};
     std::uint64_t aborted{0};
-    std::size_t mostConnections{0};
+    std::size_t peakConnections{0};
 };
 
 /** Listens from create() until destroyed. */
@@ -60,7 +60,7 @@
     [[nodiscard]] std::size_t connectionCount() const;
     [[nodiscard]] const ServerCounters &counters() const;
     /** Requests whose response has not been written to the last byte. */
-    [[nodiscard]] std::size_t requestsUnderWay() const;
+    [[nodiscard]] std::size_t requestsInFlight() const;
     /** Changes the cap for connections yet to come. */
     void setMaximumConnections(std::size_t maximum);
 
--- a/Libraries/LibRpc/RpcChannel.cpp
+++ b/Libraries/LibRpc/RpcChannel.cpp
@@ -145,7 +145,7 @@
     this->stream->start(
         [weak](const std::string &frame) {
             if (const auto self = weak.lock()) {
-                self->takeReply(frame);
+                self->handleReply(frame);
             }
         },
         [weak](const std::string &reason) {
@@ -160,7 +160,7 @@
     }
 }
 
-void RpcChannel::takeReply(const std::string &frame)
+void RpcChannel::handleReply(const std::string &frame)
 {
     if (this->waiting.empty()) {
         this->failAll("an answer came that nobody waits for");
--- a/Libraries/LibRpc/RpcChannel.h
+++ b/Libraries/LibRpc/RpcChannel.h
@@ -74,7 +74,7 @@
     void connect();
     static void connected(GObject *source, GAsyncResult *result, gpointer data);
     void useConnection(Core::ObjectPointer<GSocketConnection> connection);
-    void takeReply(const std::string &frame);
+    void handleReply(const std::string &frame);
     void armTimeout();
     void failAll(const std::string &reason);
 
--- a/Libraries/LibWire/ClientConnection.cpp
+++ b/Libraries/LibWire/ClientConnection.cpp
@@ -37,7 +37,7 @@
 
 Core::Result<std::shared_ptr<ClientConnection>> ClientConnection::create(ClientConnectionOptions options, Core::EventPoll &poll, Core::TimerService &timers)
 {
-    auto socket = Socket::connectTo(options.endpoint, options.silenceLimit);
+    auto socket = Socket::connectTo(options.endpoint, options.acknowledgementTimeout);
     if (!socket.has_value()) {
         return tl::make_unexpected(socket.error());
     }
@@ -69,7 +69,7 @@
 void ClientConnection::send(ClientRequest request)
 {
     Core::verify(this->isIdle(), "a request is sent on an idle connection only");
-    Core::verify(!this->hasCarried(request.key), "no key goes over the same connection twice");
+    Core::verify(!this->hasSent(request.key), "no key goes over the same connection twice");
     this->carried.push_back(std::hash<std::string>{}(request.key));
     this->output = std::move(request.bytes);
     this->written = 0;
@@ -99,10 +99,10 @@
 
 void ClientConnection::watchForSilence()
 {
-    if (this->options.silenceLimit >= ShortestRetransmission || !this->done) {
+    if (this->options.acknowledgementTimeout >= ShortestRetransmission || !this->done) {
         return;
     }
-    const auto limit = std::min(this->options.silenceLimit, acknowledgementLimit(this->connecting));
+    const auto limit = std::min(this->options.acknowledgementTimeout, acknowledgementLimit(this->connecting));
     this->silenceTimer = this->timers.once(limit, [this](Core::Instant) {
         if (this->done && this->options.awaitsAcknowledgement(this->socket)) {
             this->unacknowledged = true;
@@ -113,7 +113,7 @@
     });
 }
 
-bool ClientConnection::hasCarried(const std::string &key) const
+bool ClientConnection::hasSent(const std::string &key) const
 {
     return std::find(this->carried.begin(), this->carried.end(), std::hash<std::string>{}(key)) != this->carried.end();
 }
@@ -190,7 +190,7 @@
 void ClientConnection::handleEvents(std::uint32_t events)
 {
     if (this->accepted) {
-        this->turnedAway("the server reset the new connection");
+        this->connectionRejected("the server reset the new connection");
         return;
     }
     if (!this->up) {
@@ -246,9 +246,9 @@
 }
 
 // Anything that the server does before a request is there ends the connection; only a request that was sent may have run.
-void ClientConnection::turnedAway(const std::string &reason)
+void ClientConnection::connectionRejected(const std::string &reason)
 {
-    this->finish(ClientResult{.end = ClientEnd::TurnedAway, .response = {}, .reason = reason}, false);
+    this->finish(ClientResult{.end = ClientEnd::ConnectionRejected, .response = {}, .reason = reason}, false);
 }
 
 void ClientConnection::writeMore()
--- a/Libraries/LibWire/ClientConnection.h
+++ b/Libraries/LibWire/ClientConnection.h
@@ -30,7 +30,7 @@
     /** The connection did not come up, so the server can't have seen the request. */
     NotSent,
     /** The server took the connection and reset it before a request was sent on it, as one does that has as many as it takes. */
-    TurnedAway,
+    ConnectionRejected,
     /** The connection broke, or what came was no response. The request may have run. */
     Broken,
     /** As Broken, but the other side's machine has most likely never had the request. */
@@ -62,7 +62,7 @@
 struct ClientConnectionOptions {
     Core::Endpoint endpoint;
     /** Sent bytes that stay unacknowledged for this long break the connection; where it is short, after a few round trips already. */
-    Core::Duration silenceLimit{Core::milliseconds(1500)};
+    Core::Duration acknowledgementTimeout{Core::milliseconds(1500)};
     /** A connection that is not up after this long ends. Nothing where the owner looks after that. */
     std::optional<Core::Duration> connectLimit;
     /** Whether bytes that were sent on a socket are not acknowledged yet. */
@@ -90,7 +90,7 @@
     void send(ClientRequest request);
 
     /** Whether a request of this key was sent here before; its answer may yet come a second time. */
-    [[nodiscard]] bool hasCarried(const std::string &key) const;
+    [[nodiscard]] bool hasSent(const std::string &key) const;
 
     /** Ends the connection and drops the request under way without calling its hook. */
     void close();
@@ -119,7 +119,7 @@
     ClientConnection(ClientConnectionOptions options, Socket socket, Core::EventPoll &poll, Core::TimerService &timers);
     void connected();
     void endTrial();
-    void turnedAway(const std::string &reason);
+    void connectionRejected(const std::string &reason);
     void writeFirst();
     void writeMore();
     void writeFailed(Transfer transfer);
--- a/Libraries/LibWire/Message.cpp
+++ b/Libraries/LibWire/Message.cpp
@@ -25,7 +25,7 @@
     return found == headers.end() ? nullptr : &found->value;
 }
 
-std::optional<std::string> takeHeader(Headers &headers, std::string_view name)
+std::optional<std::string> extractHeader(Headers &headers, std::string_view name)
 {
     std::optional<std::string> value;
     std::erase_if(headers, [&value, name](Header &header) {
@@ -116,7 +116,7 @@
     bytes += request.body;
 }
 
-void appendResponse(std::string &bytes, const Response &response, const ConnectionTerms &terms)
+void appendResponse(std::string &bytes, const Response &response, const ResponseOptions &options)
 {
     bytes += "HTTP/1.1 ";
     bytes += std::to_string(response.status);
@@ -132,13 +132,13 @@
     if (mayHaveBody) {
         appendHeader(bytes, "Content-Length", std::to_string(response.body.size()));
     }
-    if (terms.close) {
+    if (options.close) {
         appendHeader(bytes, "Connection", "close");
-    } else if (terms.idleSeconds > 0) {
-        appendHeader(bytes, "Keep-Alive", "timeout=" + std::to_string(terms.idleSeconds));
+    } else if (options.idleSeconds > 0) {
+        appendHeader(bytes, "Keep-Alive", "timeout=" + std::to_string(options.idleSeconds));
     }
     bytes += "\r\n";
-    if (mayHaveBody && !terms.withoutBody) {
+    if (mayHaveBody && !options.withoutBody) {
         bytes += response.body;
     }
 }
--- a/Libraries/LibWire/Message.h
+++ b/Libraries/LibWire/Message.h
@@ -31,7 +31,7 @@
 [[nodiscard]] const std::string *findHeader(const Headers &headers, std::string_view name);
 
 /** Removes all headers with this name, and returns the value of the last of them; nothing when there is none. */
-[[nodiscard]] std::optional<std::string> takeHeader(Headers &headers, std::string_view name);
+[[nodiscard]] std::optional<std::string> extractHeader(Headers &headers, std::string_view name);
 
 /** Whether a header concerns one connection only, so that it is never passed on (RFC 9110, section 7.6.1). */
 [[nodiscard]] bool isConnectionHeader(std::string_view name);
@@ -59,7 +59,7 @@
 void appendRequest(std::string &bytes, const Request &request);
 
 /** What the server says about the connection along with a response. */
-struct ConnectionTerms {
+struct ResponseOptions {
     bool close{false};
     /** Sent as `Keep-Alive: timeout=`; nothing is sent for 0. */
     long idleSeconds{0};
@@ -67,7 +67,7 @@
     bool withoutBody{false};
 };
 
-/** Appends a whole response. Connection headers in `response` are left out; they are made from `terms`. */
-void appendResponse(std::string &bytes, const Response &response, const ConnectionTerms &terms);
+/** Appends a whole response. Connection headers in `response` are left out; they are made from `options`. */
+void appendResponse(std::string &bytes, const Response &response, const ResponseOptions &options);
 
 }
--- a/Libraries/LibWire/Server.cpp
+++ b/Libraries/LibWire/Server.cpp
@@ -84,7 +84,7 @@
     this->draining = true;
 }
 
-void Server::closeResting()
+void Server::closeIdleConnections()
 {
     std::vector<std::shared_ptr<ServerConnection>> resting;
     for (const auto &[descriptor, connection] : this->connections) {
@@ -112,7 +112,7 @@
     return this->connections.size();
 }
 
-std::size_t Server::underWay() const
+std::size_t Server::inFlight() const
 {
     std::size_t count = 0;
     for (const auto &[descriptor, connection] : this->connections) {
--- a/Libraries/LibWire/Server.h
+++ b/Libraries/LibWire/Server.h
@@ -94,14 +94,14 @@
     void endConnectionsAfterResponse();
 
     /** Closes the connections on which nothing is under way. */
-    void closeResting();
+    void closeIdleConnections();
 
     /** Stops taking new connections. */
     void stopListening();
 
     [[nodiscard]] std::size_t connectionCount() const;
     /** Requests without a response, and responses that are not written to the last byte. */
-    [[nodiscard]] std::size_t underWay() const;
+    [[nodiscard]] std::size_t inFlight() const;
     [[nodiscard]] const ServerCounters &counters() const;
 
     void handleEvents(std::uint32_t events) override;
--- a/Libraries/LibWire/Socket.cpp
+++ b/Libraries/LibWire/Socket.cpp
@@ -65,7 +65,7 @@
     setsockopt(descriptor, level, option, &value, sizeof(value));
 }
 
-Core::Result<Socket> Socket::connectTo(const Core::Endpoint &endpoint, Core::Duration silenceLimit)
+Core::Result<Socket> Socket::connectTo(const Core::Endpoint &endpoint, Core::Duration acknowledgementTimeout)
 {
     const auto address = toAddress(endpoint);
     if (!address.has_value()) {
@@ -76,7 +76,7 @@
         return systemFailure("socket");
     }
     setOption(made.descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
-    setOption(made.descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(Core::toMilliseconds(silenceLimit)));
+    setOption(made.descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(Core::toMilliseconds(acknowledgementTimeout)));
     const auto *generic = reinterpret_cast<const sockaddr *>(&address.value());
     if (connect(made.descriptor, generic, sizeof(sockaddr_in)) != 0 && errno != EINPROGRESS) {
         return systemFailure("connect");
--- a/Libraries/LibWire/Socket.h
+++ b/Libraries/LibWire/Socket.h
@@ -41,8 +41,8 @@
     Socket(const Socket &) = delete;
     Socket &operator=(const Socket &) = delete;
 
-    /** Starts to connect. `silenceLimit` is how long sent bytes may stay unacknowledged before the connection counts as broken. */
-    [[nodiscard]] static Core::Result<Socket> connectTo(const Core::Endpoint &endpoint, Core::Duration silenceLimit);
+    /** Starts to connect. `acknowledgementTimeout` is how long sent bytes may stay unacknowledged before the connection counts as broken. */
+    [[nodiscard]] static Core::Result<Socket> connectTo(const Core::Endpoint &endpoint, Core::Duration acknowledgementTimeout);
 
     /** Listens with a queue for `backlog` connections. */
     [[nodiscard]] static Core::Result<Socket> listenOn(const Core::Endpoint &endpoint, int backlog);
--- a/Services/coordinatord/main.cpp
+++ b/Services/coordinatord/main.cpp
@@ -59,7 +59,7 @@
     options.watchEndpoint = Platform::internalEndpoint(settings, Platform::InternalPort::Watch);
     options.seeds = Platform::watchEndpoints(settings);
     options.mayFound = settings.firstStart;
-    options.membership.wantedVoters = 2 * static_cast<std::size_t>(settings.tolerableLosses) + 1;
+    options.membership.targetVoters = 2 * static_cast<std::size_t>(settings.toleratedFailures) + 1;
     options.regions = settings.regions;
     options.heartbeats = Fleet::HeartbeatTimes::of(settings.heartbeatPeriod);
     options.examine = [regions = settings.regions](const std::string &content) -> Core::Result<Fleet::DeclarationVersion> {
@@ -86,7 +86,7 @@
     log.nameWithFolder = true;
     log.heartbeatPeriod = HeartbeatPeriod;
     log.electionTimeout = ElectionTimeout;
-    log.firstElectionTurn = FirstElectionTurn;
+    log.initialElectionStagger = FirstElectionTurn;
     log.entriesBetweenSnapshots = EntriesBetweenSnapshots;
     log.seed = Core::randomNumber();
     return options;
--- a/Services/entryd/main.cpp
+++ b/Services/entryd/main.cpp
@@ -129,7 +129,7 @@
             // Every answer is given, but its last bytes may still be on their way out.
             flushTimer = daemon.timers().every(ResponseFlushPeriod, [&daemon, &servers](Core::Instant) {
                 const bool written = std::all_of(servers.begin(), servers.end(), [](const auto &server) {
-                    return server->requestsUnderWay() == 0;
+                    return server->requestsInFlight() == 0;
                 });
                 if (written) {
                     daemon.quit();
--- a/Services/gatewayd/main.cpp
+++ b/Services/gatewayd/main.cpp
@@ -55,9 +55,9 @@
         if (passed < BalancerNotice) {
             return;
         }
-        this->callers.closeResting();
+        this->callers.closeIdleConnections();
         // Counts searches of other gateways, too.
-        const bool working = this->node.requestsUnderWay() > 0 || this->callers.underWay() > 0;
+        const bool working = this->node.requestsInFlight() > 0 || this->callers.inFlight() > 0;
         const bool idle = !working && (this->callers.connectionCount() == 0 || passed >= BalancerNotice + Core::seconds(1));
         if (idle || passed >= this->stopTime - StopReserve) {
             this->daemon.quit();
@@ -78,12 +78,12 @@
     options.name = settings.instanceName;
     options.pool.zone = Core::ZoneName(settings.zone);
     options.pool.regions = settings.regions;
-    options.pool.budget.ratio = settings.repeatRatio;
-    options.pool.budget.slack = settings.repeatSlack;
-    options.pool.budget.window = settings.repeatWindow;
-    options.pool.budget.slackFrom = now + settings.repeatWindow;
-    options.ownership.slack.window = settings.repeatWindow;
-    options.pool.cold = {.overshoot = settings.coldOvershoot, .slack = settings.coldSlack};
+    options.pool.budget.ratio = settings.retryRatio;
+    options.pool.budget.slack = settings.retrySlack;
+    options.pool.budget.window = settings.retryWindow;
+    options.pool.budget.slackFrom = now + settings.retryWindow;
+    options.ownership.slack.window = settings.retryWindow;
+    options.pool.cold = {.overshoot = settings.warmupOvershoot, .slack = settings.warmupSlack};
     options.quotas.quota = {.overshoot = settings.quotaOvershoot, .slack = settings.quotaSlack, .window = settings.quotaWindow};
     options.pool.choice.seed = Core::randomNumber();
     options.requests.returnFloor = Gateway::returnFloorFor(options.requests, settings.processorShare);
@@ -93,7 +93,7 @@
     options.readDeclaration = [reader = std::make_shared<Platform::ConfigurationReader>()](const std::string &content) {
         return reader->read(content);
     };
-    options.registryPatience = Fleet::HeartbeatTimes::of(settings.heartbeatPeriod).allHeard;
+    options.readinessTimeout = Fleet::HeartbeatTimes::of(settings.heartbeatPeriod).allHeard;
     return options;
 }
 
--- a/Tests/Incidents/TestSurplusAnswers.cpp
+++ b/Tests/Incidents/TestSurplusAnswers.cpp
@@ -19,8 +19,8 @@
 // id before, and never without doubled answers.
 
 #include <LibRpc/Serialization.h>
+#include <Support/DuplicatingBackend.h>
 #include <Support/GatewayFixture.h>
-#include <Support/StutteringBackend.h>
 
 #include <criterion/criterion.h>
 #include <random>
@@ -33,43 +33,46 @@
 const std::string wholeRecord = "a record of 16 b";
 
 /** A fixture with one stuttering backend server, the only one of its service. */
-class StutteringFixture : public GatewayFixture
+class DuplicatingFixture : public GatewayFixture
 {
 public:
-    explicit StutteringFixture(const std::string &service) : service(service), server(std::make_shared<StutteringBackend>(*this))
+    explicit DuplicatingFixture(const std::string &service) : service(service), server(std::make_shared<DuplicatingBackend>(*this))
     {
         this->server->listen();
         announce(this->pool, service, "server", this->server->endpoint, "here");
     }
 
-    /** Asks as another gateway does that wants the one shard. With `mayMiss` it is answered without the shard if that is late. */
-    [[nodiscard]] Protocol::PartialAnswer askPart(const std::string &id, Core::Duration targetLeft, std::size_t mayMiss)
+    /** Asks as another gateway does that wants the one shard. With `maximumMissing` it is answered without the shard if that is late. */
+    [[nodiscard]] Protocol::PartialAnswer askPart(const std::string &id, Core::Duration timeLeftToTarget, std::size_t maximumMissing)
     {
-        this->relayTerms = Gateway::RelayTerms{
-            .targetLeft = targetLeft, .holdLeft = Core::seconds(5), .mayMiss = mayMiss, .before = {}, .shards = {Core::ServiceName(this->service)}};
+        this->relayParameters = Gateway::RelayParameters{.timeLeftToTarget = timeLeftToTarget,
+            .timeLeftToDeadline = Core::seconds(5),
+            .maximumMissing = maximumMissing,
+            .before = {},
+            .shards = {Core::ServiceName(this->service)}};
         const auto part = this->ask(id);
         return Rpc::deserialize<Protocol::PartialAnswer>(part.body).value_or(Protocol::PartialAnswer());
     }
 
     std::string service;
-    std::shared_ptr<StutteringBackend> server;
+    std::shared_ptr<DuplicatingBackend> server;
 };
 
 /** A run's own answer. Its signature and its body name the run. */
-Wire::Response wholeAnswer(const StutteringRun &run)
+Wire::Response wholeAnswer(const DuplicatingRun &run)
 {
-    return goodAnswer(run.request, "signature of run " + std::to_string(run.number), wholeRecord);
+    return successResponse(run.request, "signature of run " + std::to_string(run.number), wholeRecord);
 }
 
 }
 
 Test(SurplusAnswers, aSearchAskedAgainIsNotGivenTheSecondAnswerToItsFirstAttempt)
 {
-    StutteringFixture fixture("shard");
+    DuplicatingFixture fixture("shard");
     fixture.route().shards = {Core::ServiceName("shard")};
     fixture.route().topRecords = 1;
     static constexpr int LateRun = 2;
-    fixture.server->onRun = [](const StutteringRun &run) {
+    fixture.server->onRun = [](const DuplicatingRun &run) {
         if (run.number != LateRun) {
             run.connection->write(wholeAnswer(run));
         }
@@ -90,14 +93,14 @@
 
 Test(SurplusAnswers, aSecondRefusalDoesNotSendANonRepeatableRequestTwice)
 {
-    StutteringFixture fixture("service");
+    DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
     fixture.route().idempotent = false;
     fixture.route().maximumAttempts = 3;
     int executed = 0;
-    fixture.server->onRun = [&fixture, &executed](const StutteringRun &run) {
+    fixture.server->onRun = [&fixture, &executed](const DuplicatingRun &run) {
         if (run.number == 1) {
-            fixture.server->answerTwice(run, badAnswer(run.request, 503, true), "");
+            fixture.server->answerTwice(run, errorResponse(run.request, 503, true), "");
             return;
         }
         ++executed;
@@ -112,9 +115,9 @@
 
 Test(SurplusAnswers, anAnswerThatDoesNotSayWhoseItIsIsNobodys)
 {
-    StutteringFixture fixture("service");
+    DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
-    fixture.server->onRun = [](const StutteringRun &run) {
+    fixture.server->onRun = [](const DuplicatingRun &run) {
         run.connection->write(Wire::Response{.status = 200, .headers = {{"Response-Signature", "none"}}, .body = "whose?"});
         run.connection->write(wholeAnswer(run));
     };
@@ -124,10 +127,10 @@
 
 Test(SurplusAnswers, aRequestWithoutAnIdIsNotGivenAnotherRequestsAnswer)
 {
-    StutteringFixture fixture("service");
+    DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
-    fixture.server->onRun = [&fixture](const StutteringRun &run) {
-        fixture.server->answerTwice(run, goodAnswer(run.request, "signature", std::to_string(run.number)), "no");
+    fixture.server->onRun = [&fixture](const DuplicatingRun &run) {
+        fixture.server->answerTwice(run, successResponse(run.request, "signature", std::to_string(run.number)), "no");
     };
     const auto named = fixture.ask("x");
     cr_assert_str_eq(named.body.c_str(), "1");
@@ -139,10 +142,10 @@
 
 Test(SurplusAnswers, askingAgainNeitherStopsNorTakesMoreConnectionsAtTheLimit)
 {
-    StutteringFixture fixture("service");
+    DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
-    fixture.server->onRun = [&fixture](const StutteringRun &run) {
-        fixture.server->answerTwice(run, goodAnswer(run.request, "signature", std::to_string(run.number)), "no");
+    fixture.server->onRun = [&fixture](const DuplicatingRun &run) {
+        fixture.server->answerTwice(run, successResponse(run.request, "signature", std::to_string(run.number)), "no");
     };
     const int asks = 3 * GatewayFixture::poolOptions(0.0).undeclaredCap;
     for (int number = 1; number <= asks; ++number) {
@@ -167,10 +170,10 @@
         answer.signatures = {"signature of " + record};
         return partOf(request, answer);
     };
-    const auto gateway = std::make_shared<StutteringBackend>(fixture);
+    const auto gateway = std::make_shared<DuplicatingBackend>(fixture);
     gateway->listen();
     GatewayFixture::announce(fixture.relays, Gateway::relayService("there").value(), "gateway", gateway->endpoint, "there");
-    gateway->onRun = [&part](const StutteringRun &run) {
+    gateway->onRun = [&part](const DuplicatingRun &run) {
         auto ofAnother = part(run.request, "not the part's..");
         for (auto &header : ofAnother.headers) {
             header.value += header.name == Gateway::RelayHeader::Send ? "0" : "";
@@ -191,7 +194,7 @@
     fixture.route().topRecords = 1;
     fixture.relayed = {shard};
     fixture.add("shard", "server", [](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(goodAnswer(request, "signature", wholeRecord));
+        exchange->respond(successResponse(request, "signature", wholeRecord));
     });
     fixture.addGateway([](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
         exchange->respond(Wire::Response{.status = 503, .headers = {{"Request-Id", *Wire::findHeader(request.headers, "Request-Id")}}, .body = {}});
@@ -207,13 +210,13 @@
     static constexpr int Plans = 8;
     static constexpr int Steps = 120;
     for (int seed = 1; seed <= Plans; ++seed) {
-        StutteringFixture fixture("service");
+        DuplicatingFixture fixture("service");
         std::mt19937 random(static_cast<std::mt19937::result_type>(seed));
         const auto below = [&random](std::size_t limit) {
             return std::uniform_int_distribution<std::size_t>(0, limit - 1)(random);
         };
-        std::vector<StutteringRun> waiting;
-        fixture.server->onRun = [&waiting](const StutteringRun &run) {
+        std::vector<DuplicatingRun> waiting;
+        fixture.server->onRun = [&waiting](const DuplicatingRun &run) {
             waiting.push_back(run);
         };
         const std::vector<Gateway::BackendName> noneTried;
@@ -245,7 +248,7 @@
                 const auto position = waiting.begin() + static_cast<std::ptrdiff_t>(below(waiting.size()));
                 const auto run = *position;
                 waiting.erase(position);
-                fixture.server->answerTwice(run, goodAnswer(run.request, "signature", *Wire::findHeader(run.request.headers, "Attempt")), "no");
+                fixture.server->answerTwice(run, successResponse(run.request, "signature", *Wire::findHeader(run.request.headers, "Attempt")), "no");
             } else if (!attempts.empty()) {
                 fixture.pool.abandon(attempts[below(attempts.size())], false);
             }
--- a/Tests/LibConsensus/TestElectionAfterStart.cpp
+++ b/Tests/LibConsensus/TestElectionAfterStart.cpp
@@ -34,7 +34,7 @@
     Control::ControlNodeOptions options;
     options.log.heartbeatPeriod = Core::milliseconds(200);
     options.log.electionTimeout = UsualTimeout;
-    options.log.firstElectionTurn = Turn;
+    options.log.initialElectionStagger = Turn;
     return options;
 }
 
--- a/Tests/LibConsensus/TestReadQuestions.cpp
+++ b/Tests/LibConsensus/TestReadIndexRequests.cpp
@@ -5,11 +5,11 @@
 
 // Which readers of a follower are confirmed by which answer of the leader.
 
-#include <LibConsensus/ReadQuestions.h>
+#include <LibConsensus/ReadIndexRequests.h>
 
 #include <criterion/criterion.h>
 
-using Consensus::ReadQuestions;
+using Consensus::ReadIndexRequests;
 
 namespace
 {
@@ -20,7 +20,7 @@
 class Readers
 {
 public:
-    ReadQuestions::ConfirmHook make(const std::string &name)
+    ReadIndexRequests::ConfirmHook make(const std::string &name)
     {
         return [this, name](bool confirmed) {
             this->ends.push_back(name + (confirmed ? "+" : "-"));
@@ -32,73 +32,73 @@
 
 }
 
-Test(ReadQuestions, oneQuestionStandsForAllThatWaited)
+Test(ReadIndexRequests, oneQuestionStandsForAllThatWaited)
 {
-    ReadQuestions questions(FirstNumber);
+    ReadIndexRequests questions(FirstNumber);
     Readers readers;
     questions.add(readers.make("a"));
     questions.add(readers.make("b"));
-    cr_assert(questions.isQuestionDue());
-    const auto number = questions.nextQuestion(Core::Instant());
-    cr_assert_not(questions.isQuestionDue());
-    questions.takeAnswer(number, 5);
+    cr_assert(questions.isRequestDue());
+    const auto number = questions.nextReadIndexRequest(Core::Instant());
+    cr_assert_not(questions.isRequestDue());
+    questions.handleAnswer(number, 5);
     questions.finish(5);
     cr_assert(readers.ends == (std::vector<std::string>{"a+", "b+"}));
 }
 
-Test(ReadQuestions, anAnswerSaysNothingOfLaterReaders)
+Test(ReadIndexRequests, anAnswerSaysNothingOfLaterReaders)
 {
-    ReadQuestions questions(FirstNumber);
+    ReadIndexRequests questions(FirstNumber);
     Readers readers;
     questions.add(readers.make("a"));
-    const auto first = questions.nextQuestion(Core::Instant());
+    const auto first = questions.nextReadIndexRequest(Core::Instant());
     questions.add(readers.make("b"));
-    questions.takeAnswer(first, 5);
+    questions.handleAnswer(first, 5);
     questions.finish(9);
     cr_assert(readers.ends == (std::vector<std::string>{"a+"}), "b came after the question had left");
-    const auto second = questions.nextQuestion(Core::Instant());
-    questions.takeAnswer(first, 5);
+    const auto second = questions.nextReadIndexRequest(Core::Instant());
+    questions.handleAnswer(first, 5);
     questions.finish(9);
     cr_assert(readers.ends.size() == 1, "the first answer came twice");
-    questions.takeAnswer(second, 6);
+    questions.handleAnswer(second, 6);
     questions.finish(9);
     cr_assert(readers.ends.back() == "b+");
 }
 
-Test(ReadQuestions, takesNoAnswerToWhatItHasNotAsked)
+Test(ReadIndexRequests, takesNoAnswerToWhatItHasNotAsked)
 {
     for (const auto strange : {FirstNumber - 1, FirstNumber, FirstNumber + 2}) {
-        ReadQuestions questions(FirstNumber);
+        ReadIndexRequests questions(FirstNumber);
         Readers readers;
         questions.add(readers.make("a"));
-        (void)questions.nextQuestion(Core::Instant());
-        questions.takeAnswer(strange, 5);
+        (void)questions.nextReadIndexRequest(Core::Instant());
+        questions.handleAnswer(strange, 5);
         questions.finish(5);
         cr_assert(readers.ends.empty());
     }
 }
 
-Test(ReadQuestions, waitsUntilSoMuchIsApplied)
+Test(ReadIndexRequests, waitsUntilSoMuchIsApplied)
 {
-    ReadQuestions questions(FirstNumber);
+    ReadIndexRequests questions(FirstNumber);
     Readers readers;
     questions.add(readers.make("a"));
-    questions.takeAnswer(questions.nextQuestion(Core::Instant()), 5);
+    questions.handleAnswer(questions.nextReadIndexRequest(Core::Instant()), 5);
     questions.finish(4);
     cr_assert(readers.ends.empty());
     questions.finish(5);
     cr_assert(readers.ends == (std::vector<std::string>{"a+"}));
 }
 
-Test(ReadQuestions, failsWhatHasNoAnswerInTime)
+Test(ReadIndexRequests, failsWhatHasNoAnswerInTime)
 {
-    ReadQuestions questions(FirstNumber);
+    ReadIndexRequests questions(FirstNumber);
     Readers readers;
     const Core::Instant start;
     questions.add(readers.make("early"));
-    (void)questions.nextQuestion(start);
+    (void)questions.nextReadIndexRequest(start);
     questions.add(readers.make("late"));
-    (void)questions.nextQuestion(start + Core::milliseconds(500));
+    (void)questions.nextReadIndexRequest(start + Core::milliseconds(500));
     questions.add(readers.make("unasked"));
     questions.failAskedBefore(start + Core::milliseconds(100));
     cr_assert(readers.ends == (std::vector<std::string>{"early-"}));
@@ -106,14 +106,14 @@
     cr_assert(readers.ends == (std::vector<std::string>{"early-", "late-", "unasked-"}));
 }
 
-Test(ReadQuestions, aHookMayBringAnotherReader)
+Test(ReadIndexRequests, aHookMayBringAnotherReader)
 {
-    ReadQuestions questions(FirstNumber);
+    ReadIndexRequests questions(FirstNumber);
     Readers readers;
     questions.add([&](bool) {
         questions.add(readers.make("next"));
     });
     questions.failAll();
-    cr_assert(questions.isQuestionDue());
+    cr_assert(questions.isRequestDue());
     cr_assert(readers.ends.empty());
 }
--- a/Tests/LibControl/TestControlRandomized.cpp
+++ b/Tests/LibControl/TestControlRandomized.cpp
@@ -9,7 +9,7 @@
 #include <Support/FakeControlCluster.h>
 
 #include <LibCore/Identity.h>
-#include <LibEntry/ConfigurationInForce.h>
+#include <LibEntry/ActiveConfiguration.h>
 
 #include <criterion/criterion.h>
 #include <cstdlib>
@@ -27,7 +27,7 @@
 
 /** One entry instance's view of the configuration. */
 struct EntryView {
-    Entry::ConfigurationInForce inForce;
+    Entry::ActiveConfiguration activeConfiguration;
     Core::Revision highest{0};
 };
 
@@ -204,10 +204,10 @@
     {
         Protocol::FollowRequest request;
         request.entryName = "entry";
-        request.revision = entry.inForce.revision().value();
+        request.revision = entry.activeConfiguration.revision().value();
         const Core::Instant sentAt = this->cluster.time.now();
         node.follow(request, [&entry, sentAt](const Protocol::FollowReply &reply) {
-            static_cast<void>(entry.inForce.take(reply, sentAt));
+            static_cast<void>(entry.activeConfiguration.take(reply, sentAt));
         });
     }
 
@@ -282,11 +282,11 @@
     {
         const Core::Instant now = this->cluster.time.now();
         for (auto &entry : this->entries) {
-            cr_assert(entry.inForce.revision() >= entry.highest, "seed %lu: a revision went back", this->seed);
-            entry.highest = entry.inForce.revision();
-            const auto next = this->acceptedAt.upper_bound(entry.inForce.revision().value());
+            cr_assert(entry.activeConfiguration.revision() >= entry.highest, "seed %lu: a revision went back", this->seed);
+            entry.highest = entry.activeConfiguration.revision();
+            const auto next = this->acceptedAt.upper_bound(entry.activeConfiguration.revision().value());
             const bool superseded = next != this->acceptedAt.end() && now - next->second > Lease;
-            cr_assert(!(superseded && entry.inForce.isFresh(now)), "seed %lu: a superseded revision is in use after its lease", this->seed);
+            cr_assert(!(superseded && entry.activeConfiguration.isFresh(now)), "seed %lu: a superseded revision is in use after its lease", this->seed);
         }
     }
 
--- a/Tests/LibControl/TestControlState.cpp
+++ b/Tests/LibControl/TestControlState.cpp
@@ -246,7 +246,7 @@
     view.matchIndexOf = [](const std::string &name) {
         return name == "z" ? 3 : 10;
     };
-    view.silenceOf = [silent = std::string(row.silent)](const std::string &name) -> Core::Duration {
+    view.timeSinceContact = [silent = std::string(row.silent)](const std::string &name) -> Core::Duration {
         return silent.find(name) != std::string::npos ? Core::seconds(100) : Core::milliseconds(50);
     };
     return view;
--- a/Tests/LibCoordinator/TestEvacuatedZones.cpp
+++ b/Tests/LibCoordinator/TestEvacuatedZones.cpp
@@ -33,10 +33,10 @@
         std::filesystem::create_directories(this->folder);
         this->open();
         auto &log = *this->declarations->log();
-        Protocol::Membership founders;
-        founders.members = {log.identity()};
-        founders.members.front().voter = true;
-        cr_assert(log.bootstrap(founders).has_value());
+        Protocol::Membership initialMembers;
+        initialMembers.members = {log.identity()};
+        initialMembers.members.front().voter = true;
+        cr_assert(log.bootstrap(initialMembers).has_value());
         this->waitForLeader();
     }
 
--- a/Tests/LibCoordinator/TestMembershipPolicy.cpp
+++ b/Tests/LibCoordinator/TestMembershipPolicy.cpp
@@ -85,7 +85,7 @@
         view.matchIndexOf = [&stateOf](const std::string &name) {
             return stateOf(name).matchIndex;
         };
-        view.silenceOf = [&stateOf](const std::string &name) -> Core::Duration {
+        view.timeSinceContact = [&stateOf](const std::string &name) -> Core::Duration {
             return Core::seconds(stateOf(name).silentSeconds);
         };
         const auto change = Coordinator::chooseMemberChange(view, {});
--- a/Tests/LibCoordinator/TestRegistryStore.cpp
+++ b/Tests/LibCoordinator/TestRegistryStore.cpp
@@ -140,7 +140,7 @@
     Fleet::BackendRegistry registry;
     const Core::Instant start(Core::seconds(100));
     registry.restore(announcement("lives"), start);
-    registry.noteHeard("lives", start + Core::seconds(1));
+    registry.recordRemoteHeartbeat("lives", start + Core::seconds(1));
     cr_assert_eq(registry.expireUnconfirmed(start + Core::seconds(10)), 0);
 }
 
@@ -149,7 +149,7 @@
 Test(RegistryStore, takesNobodyForSilentBeforeItsHeartbeatCanHaveCome)
 {
     for (const auto period : {Core::milliseconds(400), Core::milliseconds(1200), Core::milliseconds(5000)}) {
-        Fleet::BackendRegistry registry({.unconfirmedLife = Fleet::HeartbeatTimes::of(period).unconfirmedLife});
+        Fleet::BackendRegistry registry({.unconfirmedTimeout = Fleet::HeartbeatTimes::of(period).unconfirmedTimeout});
         static constexpr int Servers = 1000;
         std::mt19937_64 random(3);
         std::multimap<Core::Duration, std::string> calls;
--- a/Tests/LibCoordinator/TestWatchDesk.cpp
+++ b/Tests/LibCoordinator/TestWatchService.cpp
@@ -5,7 +5,7 @@
 
 // Which questions of watchers are answered when.
 
-#include <LibCoordinator/WatchDesk.h>
+#include <LibCoordinator/WatchService.h>
 #include <Support/LoopFixture.h>
 
 #include <criterion/criterion.h>
@@ -58,7 +58,7 @@
         announcement.phase = phase;
         announcement.sequence = ++this->sequence;
         this->registry.merge(announcement, this->timers.now());
-        this->desk.scheduleNews();
+        this->desk.scheduleNotification();
     }
 
     /** A gateway that becomes ready. */
@@ -70,7 +70,7 @@
         announcement.phase = BackendPhase::READY;
         announcement.sequence = 1;
         this->gateways.merge(announcement, this->timers.now());
-        this->desk.scheduleNews();
+        this->desk.scheduleNotification();
     }
 
     [[nodiscard]] bool isAnswered()
@@ -83,14 +83,14 @@
     Fleet::BackendRegistry registry;
     Fleet::BackendRegistry gateways;
     std::unique_ptr<Coordinator::DeclarationLog> log;
-    Coordinator::WatchDesk desk;
+    Coordinator::WatchService desk;
     std::optional<Protocol::WatchReply> answer;
     std::int64_t sequence{0};
 };
 
 }
 
-Test(WatchDesk, tellsEachWatcherWhatItIsInterestedIn)
+Test(WatchService, tellsEachWatcherWhatItIsInterestedIn)
 {
     struct Case {
         RegistryInterest::type interest;
@@ -120,7 +120,7 @@
     }
 }
 
-Test(WatchDesk, tellsALeaverToOneThatWasToldNothingElse)
+Test(WatchService, tellsALeaverToOneThatWasToldNothingElse)
 {
     DeskFixture fixture;
     const auto before = fixture.question(RegistryInterest::LEAVERS);
@@ -132,7 +132,7 @@
     cr_assert(fixture.answer->changed.size() == 1 && fixture.answer->changed.front().id == "one");
 }
 
-Test(WatchDesk, takesNoCursorOfAnotherLife)
+Test(WatchService, takesNoCursorOfAnotherLife)
 {
     DeskFixture fixture;
     fixture.change("one", BackendPhase::READY);
@@ -149,7 +149,7 @@
 
 // The load pattern: 300 gateways start at the same moment and become ready one by one. Each is news for all others, and a watcher asks again as soon
 // as it has its answer: told of each by itself, the watchers of one coordinator kept it busy for half a second.
-Test(WatchDesk, tellsOfThoseThatArriveTogetherInFewAnswers)
+Test(WatchService, tellsOfThoseThatArriveTogetherInFewAnswers)
 {
     constexpr int Arrivals = 100;
     DeskFixture fixture;
@@ -175,7 +175,7 @@
     cr_assert_lt(answers, Arrivals / 5, "%d answers", answers);
 }
 
-Test(WatchDesk, tellsOfALeaverAtOnceWhileOthersArrive)
+Test(WatchService, tellsOfALeaverAtOnceWhileOthersArrive)
 {
     DeskFixture fixture;
     fixture.arrive(1);
@@ -187,7 +187,7 @@
     cr_assert(fixture.answer->changed.size() == 1 && fixture.answer->changedGateways.size() == 1, "with it goes what has come so far");
 }
 
-Test(WatchDesk, neverConfirmsWithoutLeading)
+Test(WatchService, neverConfirmsWithoutLeading)
 {
     DeskFixture fixture;
     auto request = fixture.question(RegistryInterest::NOTHING);
--- a/Tests/LibEntry/TestFanOut.cpp
+++ b/Tests/LibEntry/TestFanOut.cpp
@@ -161,7 +161,7 @@
     cr_expect(fixture.transport.sent[3].cancelled);
     cr_expect_eq(fixture.state.counters.hedges, 1U);
     for (const auto &backend : fixture.state.backends.rows()) {
-        cr_expect_eq(backend.evidence.inFlight, 0);
+        cr_expect_eq(backend.health.inFlight, 0);
     }
 }
 
@@ -193,7 +193,7 @@
     }
     for (const auto &backend : fixture.state.backends.rows()) {
         // 25 connections over 10 entry instances.
-        cr_expect_leq(backend.evidence.inFlight, 2);
+        cr_expect_leq(backend.health.inFlight, 2);
     }
     cr_expect_eq(fixture.transport.sent.size(), 4U);
     cr_expect_gt(fixture.state.dispatcher.waitingCount(), 0U);
--- a/Tests/LibEntry/TestRegistry.cpp
+++ b/Tests/LibEntry/TestRegistry.cpp
@@ -1,8 +1,8 @@
 #include <LibCore/Identity.h>
 #include <LibCore/LatencyDigest.h>
+#include <LibEntry/ActiveConfiguration.h>
 #include <LibEntry/Admission.h>
 #include <LibEntry/Announcement.h>
-#include <LibEntry/ConfigurationInForce.h>
 #include <LibEntry/RegistryRefresher.h>
 #include <Support/EntryFixture.h>
 
@@ -57,7 +57,7 @@
     EntryFixture fixture;
     fixture.state.backends.markLeaving(BackendId(0), 1);
     cr_expect(!firstIsUsable(fixture));
-    fixture.state.backends.noteReply(BackendId(0), 1, fixture.time.now());
+    fixture.state.backends.recordReply(BackendId(0), 1, fixture.time.now());
     cr_expect(!firstIsUsable(fixture), "a late reply is no sign of staying");
 }
 
@@ -66,10 +66,10 @@
     EntryFixture fixture;
     for (int second = 0; second < 20; ++second) {
         fixture.advance(Core::seconds(1));
-        fixture.state.backends.noteReply(BackendId(0), 1, fixture.time.now());
+        fixture.state.backends.recordReply(BackendId(0), 1, fixture.time.now());
     }
     cr_expect(firstIsUsable(fixture));
-    fixture.state.backends.noteReply(BackendId(1), 7, fixture.time.now());
+    fixture.state.backends.recordReply(BackendId(1), 7, fixture.time.now());
     cr_expect(!fixture.state.backends.isUsable(fixture.state.backends.row(BackendId(1)), fixture.time.now()), "a reply of another incarnation proves nothing");
 }
 
@@ -85,7 +85,7 @@
 Test(BackendTable, leavesANameWithItsLivingHolder)
 {
     EntryFixture fixture;
-    fixture.state.backends.noteReply(BackendId(0), 1, fixture.time.now());
+    fixture.state.backends.recordReply(BackendId(0), 1, fixture.time.now());
     auto thief = fixture.announcement(0, 0, 1, "map-1");
     thief.incarnation = 99;
     thief.port = 6666;
@@ -261,25 +261,25 @@
     return reply;
 }
 
-Test(ConfigurationInForce, countsTheLeaseFromTheQuestionAndNeverGoesBack)
+Test(ActiveConfiguration, countsTheLeaseFromTheQuestionAndNeverGoesBack)
 {
-    Entry::ConfigurationInForce inForce;
+    Entry::ActiveConfiguration activeConfiguration;
     const Core::Instant asked(Core::seconds(10));
-    cr_expect(!inForce.isFresh(asked), "a fresh process serves nothing");
+    cr_expect(!activeConfiguration.isFresh(asked), "a fresh process serves nothing");
     auto unconfirmed = makeReply(3, true);
     unconfirmed.confirmed = false;
-    cr_expect(!inForce.take(unconfirmed, asked));
-    cr_expect(inForce.take(makeReply(3, true), asked));
-    cr_expect(inForce.isFresh(asked + Core::milliseconds(4999)));
-    cr_expect(!inForce.isFresh(asked + Core::milliseconds(5000)));
-    cr_expect(!inForce.take(makeReply(2, true), asked + Core::seconds(100)), "an older revision");
-    cr_expect(!inForce.isFresh(asked + Core::seconds(100)), "which renews nothing either");
-    cr_expect(!inForce.take(makeReply(4, false), asked), "a newer revision without its content");
+    cr_expect(!activeConfiguration.take(unconfirmed, asked));
+    cr_expect(activeConfiguration.take(makeReply(3, true), asked));
+    cr_expect(activeConfiguration.isFresh(asked + Core::milliseconds(4999)));
+    cr_expect(!activeConfiguration.isFresh(asked + Core::milliseconds(5000)));
+    cr_expect(!activeConfiguration.take(makeReply(2, true), asked + Core::seconds(100)), "an older revision");
+    cr_expect(!activeConfiguration.isFresh(asked + Core::seconds(100)), "which renews nothing either");
+    cr_expect(!activeConfiguration.take(makeReply(4, false), asked), "a newer revision without its content");
     auto delta = makeReply(4, false);
     delta.__set_delta(Protocol::ConfigurationDelta());
     delta.delta.fromRevision = 2;
-    cr_expect(!inForce.take(delta, asked), "a delta from another revision");
+    cr_expect(!activeConfiguration.take(delta, asked), "a delta from another revision");
     delta.delta.fromRevision = 3;
-    cr_expect(inForce.take(delta, asked));
-    cr_expect_eq(inForce.revision().value(), 4);
+    cr_expect(activeConfiguration.take(delta, asked));
+    cr_expect_eq(activeConfiguration.revision().value(), 4);
 }
--- a/Tests/LibFleet/TestBackendRegistry.cpp
+++ b/Tests/LibFleet/TestBackendRegistry.cpp
@@ -112,9 +112,9 @@
     BackendRegistry registry;
     registry.merge(announcement(BackendPhase::READY, 1), at(0));
     cr_assert(registry.expire(at(9), Core::seconds(10)) == 0);
-    registry.noteHeard("one", at(9));
+    registry.recordRemoteHeartbeat("one", at(9));
     cr_assert(registry.expire(at(15), Core::seconds(10)) == 0, "another coordinator heard it");
-    registry.excuseSilence(at(15));
+    registry.restartHeartbeatTimeouts(at(15));
     cr_assert(registry.expire(at(24), Core::seconds(10)) == 0, "this process stood still");
     cr_assert(registry.expire(at(25), Core::seconds(10)) == 1);
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::SILENT);
@@ -126,18 +126,18 @@
 {
     BackendRegistry registry;
     registry.merge(announcement(BackendPhase::READY, 1), at(1));
-    cr_assert(registry.leaverPosition() == 0 && registry.leaversSince(0, at(1)).empty());
+    cr_assert(registry.departurePosition() == 0 && registry.departuresSince(0, at(1)).empty());
     registry.merge(announcement(BackendPhase::DRAINING, 2), at(1));
     const auto position = registry.position();
-    cr_assert(registry.leaverPosition() == position);
-    cr_assert(registry.leaversSince(0, at(1)).size() == 1);
+    cr_assert(registry.departurePosition() == position);
+    cr_assert(registry.departuresSince(0, at(1)).size() == 1);
     auto other = announcement(BackendPhase::READY, 1);
     other.id = "other";
     registry.merge(other, at(1));
-    cr_assert(registry.leaverPosition() == position && registry.leaversSince(position, at(1)).empty());
+    cr_assert(registry.departurePosition() == position && registry.departuresSince(position, at(1)).empty());
     cr_assert(registry.changedSince(position, at(1)).size() == 1);
     registry.markGone("one", at(2));
-    cr_assert(registry.leaversSince(position, at(2)).size() == 1);
+    cr_assert(registry.departuresSince(position, at(2)).size() == 1);
 }
 
 namespace
@@ -188,7 +188,7 @@
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// A farewell need not say which life it ends, and nothing else may be known of the server here.
+// A deregistration need not say which life it ends, and nothing else may be known of the server here.
 Test(BackendRegistry, aLateHeartbeatDoesNotUndoAFarewellOfAnUnknownLife)
 {
     BackendRegistry registry;
--- a/Tests/LibFleet/TestFleetWatcher.cpp
+++ b/Tests/LibFleet/TestFleetWatcher.cpp
@@ -62,21 +62,21 @@
 class WatcherFixture : public TestSupport::LoopFixture
 {
 public:
-    explicit WatcherFixture(std::size_t watchedAtOnce = 1, Core::Duration declarationPatience = Core::milliseconds(20))
+    explicit WatcherFixture(std::size_t maximumWatched = 1, Core::Duration declarationFallbackDelay = Core::milliseconds(20))
         : watcher(Fleet::WatcherOptions{.name = "gateway",
                       .zone = "near",
                       .regions = {{"near", "one"}, {"far-1", "two"}, {"far-2", "three"}},
                       .own = {},
-                      .watchedAtOnce = watchedAtOnce,
-                      .declarationPatience = declarationPatience},
+                      .maximumWatched = maximumWatched,
+                      .declarationFallbackDelay = declarationFallbackDelay},
             this->backends,
             this->gateways,
             this->timers)
     {
-        this->watcher.heldVersion = [this] {
+        this->watcher.knownVersion = [this] {
             return Fleet::DeclarationVersion(this->version);
         };
-        this->watcher.declarationArrived = [this](Fleet::DeclarationVersion arrived, const std::string &content) {
+        this->watcher.declarationReceived = [this](Fleet::DeclarationVersion arrived, const std::string &content) {
             this->version = arrived.value();
             this->text = content;
         };
@@ -154,7 +154,7 @@
     const auto &near = fixture.add("near", answeringOnce(fixture, -1));
     const auto &far = fixture.add("far-1", answeringOnce(fixture, -1));
     const auto &farther = fixture.add("far-2", answeringOnce(fixture, -1));
-    fixture.watcher.wantConfirmation();
+    fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
         return asksForRegistry(near) && near.requests.back().confirm;
@@ -180,7 +180,7 @@
             return request.confirm ? std::optional(reply) : std::nullopt;
         });
     }
-    fixture.watcher.wantConfirmation();
+    fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
         return fixture.watcher.isConfirmed();
@@ -197,7 +197,7 @@
     fixture.add("near", [](const WatchRequest &) -> std::optional<WatchReply> {
         return std::nullopt;
     });
-    fixture.watcher.wantConfirmation();
+    fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
         return asksForRegistry(far) || asksForRegistry(*fixture.coordinators[1]);
@@ -215,7 +215,7 @@
             return reply;
         });
     }
-    fixture.watcher.wantConfirmation();
+    fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
         return asksForRegistry(near);
@@ -377,7 +377,7 @@
         reply.confirmed = request.coordinatorIncarnation != 0;
         return reply;
     });
-    fixture.watcher.wantConfirmation();
+    fixture.watcher.requestConfirmation();
     fixture.start();
     const auto &leader = *fixture.coordinators.back();
     cr_assert(fixture.runUntil([&leader] {
@@ -406,11 +406,11 @@
         return reply;
     });
     int arrivals = 0;
-    fixture.watcher.evacuationsArrived = [&](const Protocol::Evacuations &evacuations) {
+    fixture.watcher.evacuationsChanged = [&](const Protocol::Evacuations &evacuations) {
         arrivals += evacuations.zones == std::vector<std::string>{"far-1"} ? 1 : 100;
         cr_assert_not(fixture.watcher.isConfirmed(), "the zones are in force before anything is served");
     };
-    fixture.watcher.wantConfirmation();
+    fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
         return fixture.watcher.isConfirmed();
--- a/Tests/LibFleet/TestWatcherQuestions.cpp
+++ b/Tests/LibFleet/TestWatcherQuestions.cpp
@@ -113,9 +113,9 @@
                                     .zone = "near",
                                     .regions = {{"near", "one"}, {"beside", "one"}, {"far", "two"}},
                                     .own = {},
-                                    .watchedAtOnce = 3,
-                                    .answerTimeout = Core::seconds(60),
-                                    .giveUpAfter = GiveUpAfter},
+                                    .maximumWatched = 3,
+                                    .responseTimeout = Core::seconds(60),
+                                    .removalTimeout = GiveUpAfter},
         backends,
         gateways,
         fixture.timers);
@@ -165,8 +165,8 @@
                                     .zone = "near",
                                     .regions = {{"near", "one"}, {"beside", "one"}, {"far", "two"}},
                                     .own = {},
-                                    .answerTimeout = Core::seconds(60),
-                                    .giveUpAfter = GiveUpAfter},
+                                    .responseTimeout = Core::seconds(60),
+                                    .removalTimeout = GiveUpAfter},
         backends,
         gateways,
         fixture.timers);
@@ -207,5 +207,5 @@
     // The dropped question fails now.
     beside.server.reset();
     fixture.settle();
-    cr_assert_geq(watcher.inReach(), 2);
+    cr_assert_geq(watcher.reachableCount(), 2);
 }
--- /dev/null
+++ b/Tests/LibGateway/TestBackendHealth.cpp
@@ -0,0 +1,95 @@
+/*
+ * SPDX-FileCopyrightText: 2026 the crankrudder developers
+ * SPDX-License-Identifier: BSD-2-Clause
+ */
+
+// What a gateway makes of what it saw of a backend server.
+
+#include <LibGateway/BackendHealth.h>
+
+#include <criterion/criterion.h>
+
+using Gateway::BackendHealth;
+
+static Core::Instant at(int milliseconds)
+{
+    return Core::Instant(Core::milliseconds(100'000 + milliseconds));
+}
+
+Test(BackendHealth, countsFailuresInARow)
+{
+    BackendHealth health;
+    cr_assert_not(health.recordFailure(2, at(0)));
+    health.recordAnswer(1.0, at(1));
+    cr_assert_not(health.recordFailure(2, at(2)), "an answer between two failures starts the count anew");
+    cr_assert(health.recordFailure(2, at(3)));
+    cr_assert(health.isAvoided(at(4)));
+    cr_assert_not(health.recordFailure(2, at(5)), "it is avoided already");
+    cr_assert_not(health.isAvoided(at(5000)));
+}
+
+Test(BackendHealth, takesSilenceSeriouslyAtOnceAndLongerEachTime)
+{
+    BackendHealth health;
+    cr_assert(health.recordSilence(at(0)));
+    cr_assert_not(health.isAvoided(at(500)));
+    cr_assert(health.recordSilence(at(600)));
+    cr_assert(health.isAvoided(at(1500)));
+    for (int round = 0; round < 20; ++round) {
+        health.recordSilence(at(2000));
+    }
+    cr_assert_not(health.isAvoided(at(6000)), "never for longer than four seconds");
+    health.recordAnswer(1.0, at(3000));
+    cr_assert_not(health.isAvoided(at(3000)), "one answer ends it");
+}
+
+Test(BackendHealth, expectsLateAnswersOfSlowAndBusyOnes)
+{
+    BackendHealth health;
+    const double usual = health.expectedFactor(0, 2, at(0));
+    cr_assert(usual == 1.0);
+    for (int round = 0; round < 10; ++round) {
+        health.recordAnswer(8.0, at(round));
+    }
+    cr_assert(health.expectedFactor(0, 2, at(10)) > 5.0);
+    cr_assert(health.expectedFactor(0, 2, at(20'000)) < 1.1, "what is known fades");
+    BackendHealth busy;
+    busy.recordReply(Gateway::LoadReport{.running = 2, .waiting = 3, .slots = 2}, at(0));
+    cr_assert(busy.expectedFactor(0, 2, at(0)) == 3.0);
+    cr_assert(busy.expectedFactor(0, 2, at(300)) == 1.0, "an old report says nothing");
+    cr_assert(busy.expectedFactor(4, 2, at(300)) == 2.5, "our own requests are known");
+}
+
+Test(BackendHealth, remembersTheShareOfTrouble)
+{
+    BackendHealth health;
+    for (int round = 0; round < 40; ++round) {
+        if (round % 2 == 0) {
+            health.recordRefusal(at(round));
+        } else {
+            health.recordAnswer(1.0, at(round));
+        }
+    }
+    const double rate = health.failureRate(at(40));
+    cr_assert(rate > 0.35 && rate < 0.65, "%f", rate);
+    cr_assert(health.failureRate(at(10'000)) < 0.05);
+}
+
+// The load pattern: a fifth of the servers take nine times as long for eight seconds and say so, and each search meets most of them. By latencies an
+// owner of their shards needs some three searches for each until it asks elsewhere; by their word it needs one reply, whatever that reply took.
+Test(BackendHealth, takesAMachinesOwnWordForItsPace)
+{
+    BackendHealth health;
+    const auto reportWith = [](std::optional<double> slowdown) {
+        return Gateway::LoadReport{.running = 0, .waiting = 0, .slots = 2, .slowdown = slowdown};
+    };
+    health.recordReply(reportWith(9.0), at(0));
+    health.recordAnswer(1.2, at(0));
+    cr_assert(health.expectedFactor(0, 2, at(0)) == 9.0);
+    cr_assert(health.expectedFactor(0, 2, at(2000)) == 5.0, "it fades to half in two seconds, so that one that recovered is asked again");
+    health.recordReply(reportWith(1.0), at(2100));
+    health.recordAnswer(10.0, at(2100));
+    cr_assert(health.expectedFactor(0, 2, at(2100)) == 1.0, "a pause in its answer is none in its work");
+    health.recordReply(reportWith(std::nullopt), at(2200));
+    cr_assert(health.expectedFactor(0, 2, at(2200)) > 3.0, "one that does not tell is known by its latencies");
+}
--- a/Tests/LibGateway/TestConnectionAllowance.cpp
+++ b/Tests/LibGateway/TestConnectionAllowance.cpp
@@ -84,14 +84,14 @@
 // A server that is full for six seconds is tried a dozen times by a gateway and not with each search.
 Test(ConnectionAllowance, aFullServerIsTriedNowAndThen)
 {
-    Gateway::TurnedAwayPause pause;
-    const Gateway::TurnedAwayOptions options;
+    Gateway::RejectionBackoff pause;
+    const Gateway::RejectionBackoffOptions options;
     int tries = 0;
     for (Core::Duration time(0); time < Core::seconds(6); time += Core::milliseconds(5)) {
         const Core::Instant now = Core::Instant() + time;
         if (pause.isOver(now)) {
             ++tries;
-            pause.noteTurnedAway(options, now);
+            pause.recordRejection(options, now);
         }
     }
     cr_assert_geq(tries, 8);
@@ -100,14 +100,14 @@
 
 Test(ConnectionAllowance, anAnswerEndsTheDoubling)
 {
-    Gateway::TurnedAwayPause pause;
-    const Gateway::TurnedAwayOptions options;
+    Gateway::RejectionBackoff pause;
+    const Gateway::RejectionBackoffOptions options;
     Core::Instant now;
     for (int count = 0; count < 5; ++count) {
-        pause.noteTurnedAway(options, now);
+        pause.recordRejection(options, now);
     }
-    pause.noteReply();
-    pause.noteTurnedAway(options, now);
+    pause.recordReply();
+    pause.recordRejection(options, now);
     cr_assert_not(pause.isOver(now));
     cr_assert(pause.isOver(now + options.firstPause));
 }
@@ -122,7 +122,7 @@
     cr_assert(period.marginAt(options, start).has_value(), "after a loss of power the old connections may still count");
     const auto calm = start + options.period;
     cr_assert_not(period.marginAt(options, calm).has_value());
-    period.noteReset(calm);
+    period.recordReset(calm);
     cr_assert(period.marginAt(options, calm).has_value());
     cr_assert_not(period.marginAt(options, calm + options.period).has_value());
 }
--- a/Tests/LibGateway/TestConnections.cpp
+++ b/Tests/LibGateway/TestConnections.cpp
@@ -6,8 +6,8 @@
 // Kept connections while they are closed: each closing tells those who wait for
 // room, and one of them may take a connection that is looked at just then.
 
+#include <Support/DuplicatingBackend.h>
 #include <Support/GatewayFixture.h>
-#include <Support/StutteringBackend.h>
 
 #include <criterion/criterion.h>
 
@@ -25,30 +25,30 @@
     explicit ConnectionsFixture(Gateway::BackendPoolOptions options, long idleSecondsOfFirst = 0)
         : dialect(Platform::makeDialect())
         , pool(std::move(options), this->dialect, *this->poll, this->timers)
-        , server(std::make_shared<StutteringBackend>(*this))
+        , server(std::make_shared<DuplicatingBackend>(*this))
         , idleSecondsOfFirst(idleSecondsOfFirst)
     {
         this->pool.setGatewayCount(1, 1);
         this->server->listen();
-        this->server->onRun = [this](const StutteringRun &run) {
+        this->server->onRun = [this](const DuplicatingRun &run) {
             this->answer(run);
         };
         GatewayFixture::announce(this->pool, service.value(), "server", this->server->endpoint, "here");
     }
 
-    void answer(const StutteringRun &run) const
+    void answer(const DuplicatingRun &run) const
     {
         static constexpr int Together = 2;
         if (run.number < Together) {
             return;
         }
         if (run.number > Together) {
-            run.connection->write(goodAnswer(run.request, "signature", "body"));
+            run.connection->write(successResponse(run.request, "signature", "body"));
             return;
         }
         for (const auto &waiting : this->server->runs) {
-            const Wire::ConnectionTerms terms{.idleSeconds = waiting.number == 1 ? this->idleSecondsOfFirst : 0};
-            waiting.connection->write(goodAnswer(waiting.request, "signature", "body"), terms);
+            const Wire::ResponseOptions parameters{.idleSeconds = waiting.number == 1 ? this->idleSecondsOfFirst : 0};
+            waiting.connection->write(successResponse(waiting.request, "signature", "body"), parameters);
         }
     }
 
@@ -72,7 +72,7 @@
 
     Gateway::Dialect dialect;
     Gateway::BackendPool pool;
-    std::shared_ptr<StutteringBackend> server;
+    std::shared_ptr<DuplicatingBackend> server;
     // How long the server says that it keeps the first connection; 0 when it does not say.
     long idleSecondsOfFirst;
     std::vector<Gateway::BackendName> none;
@@ -84,7 +84,7 @@
 class OneConnectionBackend : public Core::EventHandler, public std::enable_shared_from_this<OneConnectionBackend>
 {
 public:
-    explicit OneConnectionBackend(LoopFixture &fixture) : inner(std::make_shared<StutteringBackend>(fixture))
+    explicit OneConnectionBackend(LoopFixture &fixture) : inner(std::make_shared<DuplicatingBackend>(fixture))
     {
     }
 
@@ -101,7 +101,7 @@
                        return held->socket.isOpen();
                    });
             if (full) {
-                ++this->turnedAway;
+                ++this->connectionRejected;
                 // After the other side has seen that it was accepted.
                 accepted.resetOnClose();
                 this->surplus.push_back(std::move(accepted));
@@ -111,13 +111,13 @@
                 continue;
             }
             const int descriptor = accepted.number();
-            this->inner->connections.push_back(std::make_shared<StutteringConnection>(*this->inner, std::move(accepted)));
+            this->inner->connections.push_back(std::make_shared<DuplicatingConnection>(*this->inner, std::move(accepted)));
             this->inner->fixture.poll->add(descriptor, EPOLLIN | EPOLLRDHUP, this->inner->connections.back());
         }
     }
 
-    std::shared_ptr<StutteringBackend> inner;
-    int turnedAway{0};
+    std::shared_ptr<DuplicatingBackend> inner;
+    int connectionRejected{0};
     // Others take each place that is given up.
     bool takesNoOther{false};
     std::vector<Wire::Socket> surplus;
@@ -176,7 +176,7 @@
     fixture.send("a");
     fixture.send("b");
     cr_assert(fixture.hasReplies(2));
-    (void)fixture.pool.waitForRoom(service, {}, [&fixture] {
+    (void)fixture.pool.waitForCapacity(service, {}, [&fixture] {
         fixture.send("waits");
     });
     // The first connection expires while the loop does not run, so that the next send closes it.
@@ -193,7 +193,7 @@
     fixture.send("a");
     fixture.send("b");
     cr_assert(fixture.hasReplies(2));
-    (void)fixture.pool.waitForRoom(service, {}, [&fixture] {
+    (void)fixture.pool.waitForCapacity(service, {}, [&fixture] {
         fixture.send("waits");
     });
     cr_assert(fixture.hasReplies(3));
@@ -215,12 +215,12 @@
         const auto server = std::make_shared<OneConnectionBackend>(fixture);
         server->listen();
         GatewayFixture::announce(pool, service.value(), "server", server->inner->endpoint, "here");
-        server->inner->onRun = [](const StutteringRun &run) {
-            run.connection->write(run.number == 1 ? badAnswer(run.request, 503, true) : goodAnswer(run.request, "signature", "body"));
+        server->inner->onRun = [](const DuplicatingRun &run) {
+            run.connection->write(run.number == 1 ? errorResponse(run.request, 503, true) : successResponse(run.request, "signature", "body"));
         };
         fixture.usedPool = &pool;
         const auto answer = fixture.ask("x", idempotent ? "GET" : "POST");
-        cr_assert_eq(answer.status, 503, "idempotent %d: status %d, turned away %d", idempotent, answer.status, server->turnedAway);
+        cr_assert_eq(answer.status, 503, "idempotent %d: status %d, turned away %d", idempotent, answer.status, server->connectionRejected);
         cr_assert_eq(server->inner->runs.size(), 1);
         fixture.request.reset();
     }
@@ -232,8 +232,8 @@
     options.undeclaredCap = 1;
     SendingFixture fixture(options);
     fixture.server->takesNoOther = true;
-    fixture.server->inner->onRun = [](const StutteringRun &run) {
-        run.connection->write(run.number == 1 ? badAnswer(run.request, 503, true) : goodAnswer(run.request, "signature", "body"));
+    fixture.server->inner->onRun = [](const DuplicatingRun &run) {
+        run.connection->write(run.number == 1 ? errorResponse(run.request, 503, true) : successResponse(run.request, "signature", "body"));
     };
     cr_assert(fixture.send("x"));
     cr_assert(fixture.hasEnds(1));
@@ -249,14 +249,14 @@
 {
     auto options = GatewayFixture::poolOptions(0.0);
     options.undeclaredCap = 2;
-    options.turnedAway = {.firstPause = Core::seconds(60), .longestPause = Core::seconds(60)};
+    options.connectionRejected = {.firstPause = Core::seconds(60), .longestPause = Core::seconds(60)};
     SendingFixture fixture(options);
-    std::optional<StutteringRun> held;
-    fixture.server->inner->onRun = [&held](const StutteringRun &run) {
+    std::optional<DuplicatingRun> held;
+    fixture.server->inner->onRun = [&held](const DuplicatingRun &run) {
         if (run.number == 2) {
             held = run;
         } else {
-            run.connection->write(goodAnswer(run.request, "signature", "body"));
+            run.connection->write(successResponse(run.request, "signature", "body"));
         }
     };
     cr_assert(fixture.send("x"));
@@ -269,16 +269,16 @@
         return held.has_value();
     }));
     bool nextWasSent = false;
-    (void)fixture.pool.waitForRoom(service, {}, [&] {
+    (void)fixture.pool.waitForCapacity(service, {}, [&] {
         nextWasSent = fixture.send("next");
     });
     std::function<void()> first = [&] {
         if (!fixture.send("x")) {
-            (void)fixture.pool.waitForRoom(service, {}, first);
+            (void)fixture.pool.waitForCapacity(service, {}, first);
         }
     };
-    (void)fixture.pool.waitForRoom(service, {}, first);
-    held->connection->write(goodAnswer(held->request, "signature", "body"));
+    (void)fixture.pool.waitForCapacity(service, {}, first);
+    held->connection->write(successResponse(held->request, "signature", "body"));
     cr_assert(fixture.runUntil([&nextWasSent] {
         return nextWasSent;
     }));
@@ -292,7 +292,7 @@
     fixture.route().targetLatency = Core::milliseconds(100);
     fixture.route().targets = {{.service = Core::ServiceName("s"), .weight = 1.0}};
     fixture.add("s", "used", [](const auto &request, const auto &exchange) {
-        exchange->respond(TestSupport::goodAnswer(request, "signature", "body"));
+        exchange->respond(TestSupport::successResponse(request, "signature", "body"));
     });
     static constexpr int Others = 20'000;
     for (int number = 0; number < Others; ++number) {
--- a/Tests/LibGateway/TestEarlyOutcomes.cpp
+++ b/Tests/LibGateway/TestEarlyOutcomes.cpp
@@ -7,8 +7,8 @@
 // connection, and the loop has not heard of that yet. Its outcome comes before the
 // call knows the attempt that it belongs to.
 
+#include <Support/DuplicatingBackend.h>
 #include <Support/GatewayFixture.h>
-#include <Support/StutteringBackend.h>
 
 #include <criterion/criterion.h>
 
@@ -21,13 +21,13 @@
 class KeptConnectionFixture : public GatewayFixture
 {
 public:
-    KeptConnectionFixture() : server(std::make_shared<StutteringBackend>(*this))
+    KeptConnectionFixture() : server(std::make_shared<DuplicatingBackend>(*this))
     {
         this->server->listen();
         announce(this->pool, "service", "server", this->server->endpoint, "here");
         this->route().targets = {{Core::ServiceName("service"), 1.0}};
-        this->server->onRun = [](const StutteringRun &run) {
-            run.connection->write(goodAnswer(run.request, "signature", "body"));
+        this->server->onRun = [](const DuplicatingRun &run) {
+            run.connection->write(successResponse(run.request, "signature", "body"));
         };
         cr_assert_eq(this->ask("opens a connection").status, 200);
         this->settle();
@@ -42,7 +42,7 @@
         socket = Wire::Socket();
     }
 
-    std::shared_ptr<StutteringBackend> server;
+    std::shared_ptr<DuplicatingBackend> server;
 };
 
 }
@@ -70,7 +70,7 @@
         "service",
         "other",
         [](const Wire::Request &request, const auto &exchange) {
-            exchange->respond(goodAnswer(request, "signature", "of the other one"));
+            exchange->respond(successResponse(request, "signature", "of the other one"));
         },
         "there");
     fixture.resetConnection();
--- a/Tests/LibGateway/TestEligibility.cpp
+++ b/Tests/LibGateway/TestEligibility.cpp
@@ -14,7 +14,7 @@
 
 using Fleet::AllowedRegions;
 using TestSupport::GatewayFixture;
-using TestSupport::goodAnswer;
+using TestSupport::successResponse;
 
 namespace
 {
@@ -26,7 +26,7 @@
 TestSupport::ScriptedBackend::Script answering(const std::string &name)
 {
     return [name](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(goodAnswer(request, "signature-" + name, std::string(16, 'r')));
+        exchange->respond(successResponse(request, "signature-" + name, std::string(16, 'r')));
     };
 }
 
@@ -109,7 +109,7 @@
     fixture.begin("r1");
     auto newer = std::make_shared<Fleet::Declaration>(*fixture.declaration);
     newer->routes.front().allowedRegions = PlacesFixture::only("home");
-    fixture.request->keepTo(Fleet::RouteTable(newer));
+    fixture.request->restrictTo(Fleet::RouteTable(newer));
     cr_assert(fixture.runUntil([&] {
         return fixture.answer.has_value();
     }));
@@ -140,7 +140,7 @@
     auto *chosen = fixture.pool.choose({.service = service, .tried = {}, .allowedRegions = anywhere, .within = std::nullopt});
     cr_assert_not_null(chosen);
     fixture.pool.setEvacuatedZones({"here"});
-    const Gateway::CallerRequest caller{.id = Core::RequestId("r1"), .host = "h", .patience = {}, .message = {.method = "GET", .target = "/x/1"}};
+    const Gateway::CallerRequest caller{.id = Core::RequestId("r1"), .host = "h", .callerTimeout = {}, .message = {.method = "GET", .target = "/x/1"}};
     std::optional<Gateway::AttemptEnd> end;
     fixture.pool.send(*chosen, {.caller = &caller, .done = [&end](const auto &outcome) {
                                     end = outcome.end;
@@ -174,7 +174,7 @@
     leaving.announcement.phase = Protocol::BackendPhase::GONE;
     fixture.pool.update(leaving);
     fixture.pool.update(recordOf(later, 2000));
-    cr_assert(fixture.pool.knowsReady(Core::ServiceName("s")));
+    cr_assert(fixture.pool.hasReady(Core::ServiceName("s")));
     fixture.begin("r2");
     cr_assert(fixture.runUntil([&] {
         return fixture.answer.has_value();
@@ -189,15 +189,15 @@
 Test(Eligibility, termsOfAPartCarryTheAllowedRegions)
 {
     Wire::Headers headers;
-    Gateway::RelayTerms terms{.shards = {Core::ServiceName("a")}};
-    terms.allowedRegions = AllowedRegions::only({"bern", "zurich"});
-    Gateway::addRelayTerms(headers, terms);
-    auto read = Gateway::takeRelayTerms(headers);
-    cr_assert(read.has_value() && read->allowedRegions.names() == terms.allowedRegions.names());
+    Gateway::RelayParameters parameters{.shards = {Core::ServiceName("a")}};
+    parameters.allowedRegions = AllowedRegions::only({"bern", "zurich"});
+    Gateway::addRelayParameters(headers, parameters);
+    auto read = Gateway::extractRelayParameters(headers);
+    cr_assert(read.has_value() && read->allowedRegions.names() == parameters.allowedRegions.names());
     cr_assert(headers.empty());
-    terms.allowedRegions = AllowedRegions();
-    Gateway::addRelayTerms(headers, terms);
-    read = Gateway::takeRelayTerms(headers);
+    parameters.allowedRegions = AllowedRegions();
+    Gateway::addRelayParameters(headers, parameters);
+    read = Gateway::extractRelayParameters(headers);
     cr_assert(read.has_value() && read->allowedRegions.isAnywhere());
 }
 
@@ -210,8 +210,9 @@
     fixture.route().topRecords = 10;
     fixture.route().shards = {Core::ServiceName("a"), Core::ServiceName("b")};
     fixture.route().minimumCoverage = 0.5;
-    fixture.relayTerms = Gateway::RelayTerms{.targetLeft = Core::milliseconds(100), .holdLeft = Core::milliseconds(400), .mayMiss = 1, .shards = {}};
-    fixture.relayTerms->allowedRegions = AllowedRegions::only({"home"});
+    fixture.relayParameters = Gateway::RelayParameters{
+        .timeLeftToTarget = Core::milliseconds(100), .timeLeftToDeadline = Core::milliseconds(400), .maximumMissing = 1, .shards = {}};
+    fixture.relayParameters->allowedRegions = AllowedRegions::only({"home"});
     fixture.add("a", "a1", answering("a"));
     const auto &far = fixture.addTo(fixture.pool, "b", "b1", answering("b"), "there");
     const auto part = Rpc::deserialize<Protocol::PartialAnswer>(fixture.ask("r1").body);
--- a/Tests/LibGateway/TestMergedBodies.cpp
+++ b/Tests/LibGateway/TestMergedBodies.cpp
@@ -26,9 +26,9 @@
 #include <cstdlib>
 #include <random>
 
-using TestSupport::badAnswer;
+using TestSupport::errorResponse;
 using TestSupport::GatewayFixture;
-using TestSupport::goodAnswer;
+using TestSupport::successResponse;
 
 namespace
 {
@@ -161,13 +161,13 @@
             }
         }
         if (this->chance(30)) {
-            this->relayTerms = Gateway::RelayTerms{.targetLeft = this->isShort ? Core::milliseconds(40) : Core::seconds(8),
-                .holdLeft = this->isShort ? Core::milliseconds(350) : Core::seconds(9),
-                .mayMiss = static_cast<std::size_t>(this->between(0, shards / 2)),
-                .mayDivide = false,
+            this->relayParameters = Gateway::RelayParameters{.timeLeftToTarget = this->isShort ? Core::milliseconds(40) : Core::seconds(8),
+                .timeLeftToDeadline = this->isShort ? Core::milliseconds(350) : Core::seconds(9),
+                .maximumMissing = static_cast<std::size_t>(this->between(0, shards / 2)),
+                .mayRelayFurther = false,
                 .before = {},
                 .shards = this->route().shards,
-                .leastRecord = this->chance(30) ? record(this->between(0, 0x6000)) : std::string()};
+                .minimumRecord = this->chance(30) ? record(this->between(0, 0x6000)) : std::string()};
         }
     }
 
@@ -244,8 +244,9 @@
     {
         return std::any_of(this->waiting.begin(), this->waiting.end(), [&shard](const Waiting &asked) {
             auto headers = asked.request.headers;
-            const auto terms = Gateway::takeRelayTerms(headers);
-            return terms.has_value() && std::find(terms->shards.begin(), terms->shards.end(), Core::ServiceName(shard)) != terms->shards.end();
+            const auto parameters = Gateway::extractRelayParameters(headers);
+            return parameters.has_value()
+                && std::find(parameters->shards.begin(), parameters->shards.end(), Core::ServiceName(shard)) != parameters->shards.end();
         });
     }
 
@@ -344,12 +345,12 @@
     {
         const int kind = this->chance(100, 0) ? this->between(1, 100) : 100;
         if (kind <= 8) {
-            asked.exchange->respond(badAnswer(asked.request, 503, true));
+            asked.exchange->respond(errorResponse(asked.request, 503, true));
             return;
         }
         if (kind <= 20) {
             // No part: a failure whatever it carries, and a success without a signature.
-            auto noPart = goodAnswer(asked.request, "of no part", this->randomRecords(this->chance(50)));
+            auto noPart = successResponse(asked.request, "of no part", this->randomRecords(this->chance(50)));
             if (kind <= 16) {
                 noPart.status = 500;
             } else {
@@ -360,7 +361,7 @@
         }
         const bool isRich = this->chance(this->isAskedElsewhere(asked.shard) ? 80 : this->richPercent);
         const auto signature = this->newRun(asked.shard, true, isRich);
-        auto response = goodAnswer(asked.request, signature, this->runs[signature].records);
+        auto response = successResponse(asked.request, signature, this->runs[signature].records);
         if (kind <= 24) {
             response.headers.push_back({"Connection", "close"});
         }
@@ -370,15 +371,15 @@
     void answerAsGateway(const Waiting &asked)
     {
         auto headers = asked.request.headers;
-        const auto terms = Gateway::takeRelayTerms(headers);
-        cr_assert(terms.has_value(), "seed %zu", this->seed);
-        this->limitedParts += terms->leastRecord.empty() ? 0 : 1;
+        const auto parameters = Gateway::extractRelayParameters(headers);
+        cr_assert(parameters.has_value(), "seed %zu", this->seed);
+        this->limitedParts += parameters->minimumRecord.empty() ? 0 : 1;
         const int kind = this->chance(100, 0) ? this->between(1, 100) : 100;
         if (kind <= 20) {
-            asked.exchange->respond(badAnswer(asked.request, kind <= 8 ? 502 : 503, false));
+            asked.exchange->respond(errorResponse(asked.request, kind <= 8 ? 502 : 503, false));
             return;
         }
-        auto part = this->partOf(*terms);
+        auto part = this->partOf(*parameters);
         if (kind <= 24 && !part.signatures.empty()) {
             // One that does not add up counts for nothing.
             part.signatures.pop_back();
@@ -390,12 +391,12 @@
     }
 
     /** What an honest gateway answers that has some of the shards. */
-    [[nodiscard]] Protocol::PartialAnswer partOf(const Gateway::RelayTerms &terms)
+    [[nodiscard]] Protocol::PartialAnswer partOf(const Gateway::RelayParameters &parameters)
     {
         Protocol::PartialAnswer part;
         std::vector<std::string> bodies;
         const int shareIn = this->chance(50, 90) ? 100 : this->between(0, 100);
-        for (const auto &shard : terms.shards) {
+        for (const auto &shard : parameters.shards) {
             if (this->chance(shareIn)) {
                 part.signatures.push_back(this->newRun(shard.value(), false, this->chance(15, 0)));
                 bodies.push_back(this->runs[part.signatures.back()].records);
@@ -403,14 +404,14 @@
             }
             Protocol::MissingShard missing;
             missing.serviceName = shard.value();
-            missing.executions = this->between(terms.isHedge ? 1 : terms.before.executions, 2);
+            missing.executions = this->between(parameters.isHedge ? 1 : parameters.before.executions, 2);
             missing.sends = missing.executions + this->between(0, 1);
             missing.counted = missing.sends > 0 || this->chance(50);
             part.missing.push_back(missing);
         }
         part.records = greatest(bodies, this->route().topRecords);
         const auto whole = part.records.size();
-        Gateway::dropLessThan(part.records, terms.leastRecord);
+        Gateway::dropLessThan(part.records, parameters.minimumRecord);
         for (const auto &signature : part.signatures) {
             this->runs[signature].inShortenedPart = part.records.size() < whole;
         }
@@ -424,7 +425,7 @@
         if (this->answer->status != 200) {
             return;
         }
-        const auto said = this->relayTerms.has_value() ? readPart(*this->answer) : readCallersAnswer(*this->answer);
+        const auto said = this->relayParameters.has_value() ? readPart(*this->answer) : readCallersAnswer(*this->answer);
         std::set<std::string> shards;
         std::vector<std::string> bodies;
         bool isShortened = false;
@@ -444,8 +445,8 @@
             cr_assert(shards.insert(shard).second, "seed %zu: %s is in and missing, or missing twice", this->seed, shard.c_str());
         }
         auto expected = greatest(bodies, asked.topRecords);
-        if (this->relayTerms.has_value()) {
-            Gateway::dropLessThan(expected, this->relayTerms->leastRecord);
+        if (this->relayParameters.has_value()) {
+            Gateway::dropLessThan(expected, this->relayParameters->minimumRecord);
         } else {
             // A hair more, for the rounding of the product.
             const double share = static_cast<double>(in) / static_cast<double>(asked.shards.size()) + 1e-9;
--- a/Tests/LibGateway/TestPureParts.cpp
+++ b/Tests/LibGateway/TestPureParts.cpp
@@ -8,8 +8,8 @@
 #include <LibGateway/PackedSignatures.h>
 #include <LibGateway/RecordMerge.h>
 #include <LibGateway/RelayPlan.h>
-#include <LibGateway/RepeatBudget.h>
 #include <LibGateway/RequestSettings.h>
+#include <LibGateway/RetryBudget.h>
 
 #include <criterion/criterion.h>
 
@@ -80,17 +80,17 @@
     cr_assert(Gateway::returnFloorFor(settings, 0.0) == Core::milliseconds(32), "no setting makes it endless");
 }
 
-Test(RepeatBudget, staysWithinItsPartInEveryWindow)
+Test(RetryBudget, staysWithinItsPartInEveryWindow)
 {
-    Gateway::RepeatBudget budget({.ratio = 0.2, .slack = 40.0, .window = Core::seconds(10), .usedShare = 1.0});
+    Gateway::RetryBudget budget({.ratio = 0.2, .slack = 40.0, .window = Core::seconds(10), .usedShare = 1.0});
     std::vector<std::pair<int, bool>> sent;
     for (int tick = 0; tick < 4000; ++tick) {
         const Core::Instant now(Core::milliseconds(10 * tick));
         const bool busy = tick < 1000 || tick > 2500;
         if (busy && tick % 5 == 0) {
-            budget.noteRequest(now);
+            budget.recordRequest(now);
         }
-        sent.emplace_back(tick, budget.takeRepeat(now, 1.0 / 4));
+        sent.emplace_back(tick, budget.consumeRetry(now, 1.0 / 4));
     }
     for (std::size_t start = 0; start + 1000 <= sent.size(); ++start) {
         int repeats = 0;
@@ -102,12 +102,12 @@
     }
 }
 
-Test(RepeatBudget, sharesTheSlackAmongGateways)
+Test(RetryBudget, sharesTheSlackAmongGateways)
 {
     const auto repeatsWith = [](int gateways) {
-        Gateway::RepeatBudget budget({.ratio = 0.2, .slack = 60.0, .window = Core::seconds(10), .usedShare = 0.75});
+        Gateway::RetryBudget budget({.ratio = 0.2, .slack = 60.0, .window = Core::seconds(10), .usedShare = 0.75});
         int taken = 0;
-        while (budget.takeRepeat(Core::Instant(Core::seconds(100)), 1.0 / gateways)) {
+        while (budget.consumeRetry(Core::Instant(Core::seconds(100)), 1.0 / gateways)) {
             ++taken;
         }
         return taken;
@@ -117,48 +117,48 @@
     cr_assert(repeatsWith(100) == 0, "a part of less than one is none");
 }
 
-Test(RepeatBudget, givesAFreshProcessNoSlack)
+Test(RetryBudget, givesAFreshProcessNoSlack)
 {
     // Five of ten gateways started again within a window had their part of the slack twice: 310 repeats of 308 (hunt of edz-parts).
     const Core::Instant started(Core::seconds(100));
-    Gateway::RepeatBudget budget({.ratio = 0.2, .slack = 60.0, .window = Core::seconds(10), .slackFrom = started + Core::seconds(10), .usedShare = 1.0});
-    cr_assert_not(budget.takeRepeat(started + Core::seconds(1), 0.1));
+    Gateway::RetryBudget budget({.ratio = 0.2, .slack = 60.0, .window = Core::seconds(10), .slackFrom = started + Core::seconds(10), .usedShare = 1.0});
+    cr_assert_not(budget.consumeRetry(started + Core::seconds(1), 0.1));
     for (int request = 0; request < 10; ++request) {
-        budget.noteRequest(started + Core::seconds(2));
+        budget.recordRequest(started + Core::seconds(2));
     }
-    cr_assert(budget.takeRepeat(started + Core::seconds(3), 0.1), "requests earn repeats all the same");
-    cr_assert(budget.takeRepeat(started + Core::seconds(3), 0.1));
-    cr_assert_not(budget.takeRepeat(started + Core::seconds(3), 0.1));
-    cr_assert(budget.takeRepeat(started + Core::seconds(11), 0.1));
+    cr_assert(budget.consumeRetry(started + Core::seconds(3), 0.1), "requests earn repeats all the same");
+    cr_assert(budget.consumeRetry(started + Core::seconds(3), 0.1));
+    cr_assert_not(budget.consumeRetry(started + Core::seconds(3), 0.1));
+    cr_assert(budget.consumeRetry(started + Core::seconds(11), 0.1));
 }
 
-Test(RelayTerms, comeBackAsTheyWereAddedAndAreAllNeeded)
+Test(RelayParameters, comeBackAsTheyWereAddedAndAreAllNeeded)
 {
     Wire::Headers headers{{"Host", "h"}};
-    Gateway::addRelayTerms(headers,
-        {.targetLeft = Core::milliseconds(42),
-            .holdLeft = Core::milliseconds(99),
-            .mayMiss = 3,
-            .mayDivide = true,
+    Gateway::addRelayParameters(headers,
+        {.timeLeftToTarget = Core::milliseconds(42),
+            .timeLeftToDeadline = Core::milliseconds(99),
+            .maximumMissing = 3,
+            .mayRelayFurther = true,
             .shards = {Core::ServiceName("a"), Core::ServiceName("b")},
-            .leastRecord = record('\xff', 'a')});
+            .minimumRecord = record('\xff', 'a')});
     auto copy = headers;
-    const auto terms = Gateway::takeRelayTerms(copy);
-    cr_assert(terms.has_value() && terms->shards.size() == 2 && terms->mayMiss == 3 && terms->mayDivide);
-    cr_assert(terms->leastRecord == record('\xff', 'a'), "all bytes come back");
-    cr_assert(terms->targetLeft == Core::milliseconds(42) && terms->holdLeft == Core::milliseconds(99));
+    const auto parameters = Gateway::extractRelayParameters(copy);
+    cr_assert(parameters.has_value() && parameters->shards.size() == 2 && parameters->maximumMissing == 3 && parameters->mayRelayFurther);
+    cr_assert(parameters->minimumRecord == record('\xff', 'a'), "all bytes come back");
+    cr_assert(parameters->timeLeftToTarget == Core::milliseconds(42) && parameters->timeLeftToDeadline == Core::milliseconds(99));
     cr_assert(copy.size() == 1, "nothing of them reaches a backend server");
     for (const char *missing : {Gateway::RelayHeader::Terms, Gateway::RelayHeader::Shards}) {
         auto spoilt = headers;
         std::erase_if(spoilt, [missing](const auto &header) {
             return header.name == missing;
         });
-        cr_assert_not(Gateway::takeRelayTerms(spoilt).has_value());
+        cr_assert_not(Gateway::extractRelayParameters(spoilt).has_value());
         cr_assert(spoilt.size() == 1);
     }
     for (const char *text : {"", "1,2,3,0", "1,2,3,4,5,6", "1,2,x,0,0", "-1,2,3,0,0", "1,2,3,0,99999999999"}) {
         Wire::Headers spoilt{{Gateway::RelayHeader::Terms, text}, {Gateway::RelayHeader::Shards, "a"}};
-        cr_assert_not(Gateway::takeRelayTerms(spoilt).has_value(), "%s", text);
+        cr_assert_not(Gateway::extractRelayParameters(spoilt).has_value(), "%s", text);
         cr_assert(spoilt.empty());
     }
 }
--- a/Tests/LibGateway/TestQuotaLedger.cpp
+++ b/Tests/LibGateway/TestQuotaLedger.cpp
@@ -193,8 +193,8 @@
             row.viewDue = this->now - row.leaderKnown > Core::seconds(1) ? this->now : row.viewDue;
             row.leaderKnown = this->now;
         }
-        const bool hasNews = this->now >= row.cutUntil && this->now >= row.viewDue && (!row.hasView || row.view != this->truth);
-        if (hasNews) {
+        const bool hasReceivedUpdate = this->now >= row.cutUntil && this->now >= row.viewDue && (!row.hasView || row.view != this->truth);
+        if (hasReceivedUpdate) {
             row.view = this->truth;
             row.hasView = true;
             std::vector<KeeperGateway> ready;
@@ -331,6 +331,6 @@
     const auto first = ledger.take(name, at(Core::seconds(10)));
     const auto second = ledger.take(name, at(Core::seconds(10)));
     cr_assert(!first.granted && first.freeAfter == second.freeAfter);
-    cr_assert(second.comeBackAfter - first.comeBackAfter >= Core::milliseconds(490), "a token apart");
-    cr_assert(ledger.take(name, at(Core::seconds(10)) + first.comeBackAfter).granted);
+    cr_assert(second.retryAfter - first.retryAfter >= Core::milliseconds(490), "a token apart");
+    cr_assert(ledger.take(name, at(Core::seconds(10)) + first.retryAfter).granted);
 }
--- a/Tests/LibGateway/TestQuotas.cpp
+++ b/Tests/LibGateway/TestQuotas.cpp
@@ -41,7 +41,7 @@
         for (const auto &zone : zones) {
             this->addNode(zone, [patience](Gateway::GatewayOptions &options) {
                 options.quotas.quota.usedShare = 1.0;
-                options.registryPatience = patience;
+                options.readinessTimeout = patience;
             });
         }
     }
@@ -71,8 +71,8 @@
             granted += answer.status == Ok ? 1 : 0;
             if (answer.status == OverQuota) {
                 ++refused;
-                const auto *retryAfter = Wire::findHeader(answer.headers, "Retry-After");
-                cr_assert(retryAfter != nullptr && std::stod(*retryAfter) > 0.0);
+                const auto *retryAfterHeader = Wire::findHeader(answer.headers, "Retry-After");
+                cr_assert(retryAfterHeader != nullptr && std::stod(*retryAfterHeader) > 0.0);
             }
         }
     }
@@ -126,9 +126,9 @@
 
 Test(QuotaAnswers, areReadAsTheyWereWritten)
 {
-    const Gateway::QuotaAnswer refused{.isKeeper = true, .granted = false, .freeAfter = Core::milliseconds(12), .comeBackAfter = Core::milliseconds(345)};
+    const Gateway::QuotaAnswer refused{.isKeeper = true, .granted = false, .freeAfter = Core::milliseconds(12), .retryAfter = Core::milliseconds(345)};
     const auto read = Gateway::readQuotaAnswer(Gateway::writeQuotaAnswer(refused));
-    cr_assert(read.has_value() && !read->granted && read->freeAfter == refused.freeAfter && read->comeBackAfter == refused.comeBackAfter);
+    cr_assert(read.has_value() && !read->granted && read->freeAfter == refused.freeAfter && read->retryAfter == refused.retryAfter);
     cr_assert(Gateway::readQuotaAnswer(Gateway::writeQuotaAnswer({.isKeeper = true, .granted = true}))->granted);
     for (const char *bad : {"", "1", "1,2", "1,2,3,4", "1,x,3", "1,-2,3"}) {
         cr_assert_not(Gateway::readQuotaAnswer(bad).has_value(), "%s", bad);
--- a/Tests/LibGateway/TestRelayedPart.cpp
+++ b/Tests/LibGateway/TestRelayedPart.cpp
@@ -16,7 +16,7 @@
 #include <sys/epoll.h>
 
 using TestSupport::GatewayFixture;
-using TestSupport::goodAnswer;
+using TestSupport::successResponse;
 
 namespace
 {
@@ -48,7 +48,7 @@
         this->relayed = {Core::ServiceName("b"), Core::ServiceName("c")};
         for (const auto &shard : this->route().shards) {
             this->servers.push_back(&this->add(shard.value(), shard.value() + "-near", [shard](const auto &request, const auto &exchange) {
-                exchange->respond(goodAnswer(request, shard.value() + "-here", record(shard.value().front())));
+                exchange->respond(successResponse(request, shard.value() + "-here", record(shard.value().front())));
             }));
         }
         this->addGateway([part = std::move(answerOfGateway)](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
@@ -187,10 +187,10 @@
         fixture.route().shards = {Core::ServiceName("a")};
         fixture.route().topRecords = 2;
         fixture.add("a", "a-near", [](const auto &request, const auto &exchange) {
-            exchange->respond(goodAnswer(request, "a-here", record('a') + record('c') + record('b')));
+            exchange->respond(successResponse(request, "a-here", record('a') + record('c') + record('b')));
         });
-        fixture.relayTerms = Gateway::RelayTerms{
-            .targetLeft = Core::seconds(8), .holdLeft = Core::seconds(9), .before = {}, .shards = fixture.route().shards, .topRecords = wanted};
+        fixture.relayParameters = Gateway::RelayParameters{
+            .timeLeftToTarget = Core::seconds(8), .timeLeftToDeadline = Core::seconds(9), .before = {}, .shards = fixture.route().shards, .topRecords = wanted};
         const auto answer = fixture.ask("r1");
         const auto part = Rpc::deserialize<Protocol::PartialAnswer>(answer.body).value();
         cr_assert_eq(part.records.size(), wanted * Gateway::RecordBytes);
@@ -206,7 +206,7 @@
     std::size_t wanted = 0;
     fixture.addGateway([&wanted](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
         auto headers = request.headers;
-        wanted = Gateway::takeRelayTerms(headers).value().topRecords;
+        wanted = Gateway::extractRelayParameters(headers).value().topRecords;
         exchange->respond(TestSupport::partOf(request, partWithout({"a"})));
     });
     (void)fixture.ask("r1");
--- a/Tests/LibGateway/TestRequests.cpp
+++ b/Tests/LibGateway/TestRequests.cpp
@@ -10,10 +10,10 @@
 
 #include <criterion/criterion.h>
 
-using TestSupport::badAnswer;
+using TestSupport::errorResponse;
 using TestSupport::GatewayFixture;
-using TestSupport::goodAnswer;
 using TestSupport::partOf;
+using TestSupport::successResponse;
 
 namespace
 {
@@ -25,14 +25,14 @@
 TestSupport::ScriptedBackend::Script answering(const std::string &body)
 {
     return [body](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(goodAnswer(request, "signature-" + body.substr(0, 1), body));
+        exchange->respond(successResponse(request, "signature-" + body.substr(0, 1), body));
     };
 }
 
 TestSupport::ScriptedBackend::Script failing(int status, bool notExecuted)
 {
     return [status, notExecuted](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(badAnswer(request, status, notExecuted));
+        exchange->respond(errorResponse(request, status, notExecuted));
     };
 }
 
@@ -98,7 +98,7 @@
         {"it failed", failing(500, false), 500, 1},
         {"it broke off",
             [](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-                auto response = badAnswer(request, 200, false);
+                auto response = errorResponse(request, 200, false);
                 response.headers.push_back({"Connection", "close"});
                 exchange->respond(response);
             },
@@ -147,7 +147,7 @@
     makeSingle(fixture, true);
     bool first = true;
     const auto script = [&first](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(std::exchange(first, false) ? badAnswer(request, 500, false) : goodAnswer(request, "sig", "fine"));
+        exchange->respond(std::exchange(first, false) ? errorResponse(request, 500, false) : successResponse(request, "sig", "fine"));
     };
     fixture.add("s", "one", script);
     fixture.add("s", "two", script);
@@ -161,7 +161,7 @@
     makeSingle(fixture, false);
     bool first = true;
     const auto &one = fixture.add("s", "one", [&first](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(std::exchange(first, false) ? badAnswer(request, 503, true) : goodAnswer(request, "sig", "fine"));
+        exchange->respond(std::exchange(first, false) ? errorResponse(request, 503, true) : successResponse(request, "sig", "fine"));
     });
     cr_assert(fixture.ask("r1", "POST").body == "fine", "the only backend server there is refused once");
     cr_assert(one.requests.size() == 2);
@@ -204,8 +204,8 @@
         cr_assert_eq(answer.status, 200);
         cr_assert_eq(answer.body, std::string("other"));
     }
-    cr_assert_gt(full.turnedAway, 0);
-    cr_assert_gt(fixture.pool.counters().turnedAway, 0);
+    cr_assert_gt(full.connectionRejected, 0);
+    cr_assert_gt(fixture.pool.counters().connectionRejected, 0);
     cr_assert_eq(fixture.pool.counters().broken, 0);
 }
 
@@ -288,7 +288,7 @@
     bool first = true;
     const auto script = [&first](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
         if (!std::exchange(first, false)) {
-            exchange->respond(goodAnswer(request, "sig", record('z')));
+            exchange->respond(successResponse(request, "sig", record('z')));
         }
     };
     fixture.add("a", "a1", script);
@@ -304,7 +304,7 @@
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
     fixture.add("a", "a1", answering(record('a')));
     fixture.add("b", "b1", [](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        auto response = badAnswer(request, 500, false);
+        auto response = errorResponse(request, 500, false);
         response.headers.push_back({"Response-Signature", "forged"});
         exchange->respond(response);
     });
@@ -406,7 +406,7 @@
     fixture.add("a", "a1", answering(record('a')));
     const auto &direct = fixture.add("b", "b1", answering(record('b')));
     fixture.addGateway([](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(badAnswer(request, 502, false));
+        exchange->respond(errorResponse(request, 502, false));
     });
     const auto answer = fixture.ask("r1");
     cr_assert(answer.status == 200 && *header(answer, "Missing-Parts") == "1");
@@ -417,15 +417,18 @@
 {
     struct Case {
         const char *name;
-        std::size_t mayMiss;
+        std::size_t maximumMissing;
         bool waits;
     };
     // Parts that left at their target whatever they lacked made whole searches fail that would have been late (edz-parts-grown trouble-3).
     for (const auto &item : std::vector<Case>{{"one may be missing", 1, false}, {"none may be missing", 0, true}}) {
         GatewayFixture fixture;
         makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
-        fixture.relayTerms = Gateway::RelayTerms{
-            .targetLeft = Core::milliseconds(20), .holdLeft = Core::seconds(5), .mayMiss = item.mayMiss, .mayDivide = false, .shards = {}};
+        fixture.relayParameters = Gateway::RelayParameters{.timeLeftToTarget = Core::milliseconds(20),
+            .timeLeftToDeadline = Core::seconds(5),
+            .maximumMissing = item.maximumMissing,
+            .mayRelayFurther = false,
+            .shards = {}};
         fixture.add("a", "a1", answering(record('a')));
         Wire::ExchangePointer late;
         std::optional<Wire::Request> lateRequest;
@@ -447,7 +450,7 @@
         }
         fixture.settle(Core::milliseconds(150));
         cr_assert_not(fixture.answer.has_value(), "%s", item.name);
-        late->respond(goodAnswer(*lateRequest, "signature-b", record('b')));
+        late->respond(successResponse(*lateRequest, "signature-b", record('b')));
         cr_assert(fixture.runUntil([&] {
             return fixture.answer.has_value();
         }));
@@ -468,8 +471,11 @@
         part.missing = {missingShard("a", 0, 1)};
         exchange->respond(partOf(request, part));
     });
-    fixture.relayTerms = Gateway::RelayTerms{
-        .targetLeft = Core::milliseconds(50), .holdLeft = Core::milliseconds(1500), .mayMiss = 0, .mayDivide = false, .shards = {Core::ServiceName("a")}};
+    fixture.relayParameters = Gateway::RelayParameters{.timeLeftToTarget = Core::milliseconds(50),
+        .timeLeftToDeadline = Core::milliseconds(1500),
+        .maximumMissing = 0,
+        .mayRelayFurther = false,
+        .shards = {Core::ServiceName("a")}};
     const auto answer = fixture.ask("r1");
     const auto part = Rpc::deserialize<Protocol::PartialAnswer>(answer.body);
     cr_assert(part.has_value());
@@ -482,8 +488,11 @@
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
-    fixture.relayTerms
-        = Gateway::RelayTerms{.targetLeft = Core::milliseconds(10), .holdLeft = Core::milliseconds(1500), .mayMiss = 0, .mayDivide = false, .shards = {}};
+    fixture.relayParameters = Gateway::RelayParameters{.timeLeftToTarget = Core::milliseconds(10),
+        .timeLeftToDeadline = Core::milliseconds(1500),
+        .maximumMissing = 0,
+        .mayRelayFurther = false,
+        .shards = {}};
     fixture.add("a", "a1", answering(record('a')));
     fixture.add("b", "b1", silent);
     const auto part = Rpc::deserialize<Protocol::PartialAnswer>(fixture.ask("r1").body);
@@ -539,8 +548,8 @@
     };
     const auto whole = plan(false);
     cr_assert(whole.parts.size() == 2);
-    cr_assert(whole.parts[0].zone == "beside" && whole.parts[0].shards.size() == 3 && whole.parts[0].mayDivide);
-    cr_assert(whole.parts[1].zone == "there" && whole.parts[1].shards.size() == 2 && !whole.parts[1].mayDivide);
+    cr_assert(whole.parts[0].zone == "beside" && whole.parts[0].shards.size() == 3 && whole.parts[0].mayRelayFurther);
+    cr_assert(whole.parts[1].zone == "there" && whole.parts[1].shards.size() == 2 && !whole.parts[1].mayRelayFurther);
     cr_assert(whole.direct == (std::vector{Core::ServiceName("near"), Core::ServiceName("away-3")}), "a single far shard is asked from here");
     const auto second = plan(true);
     cr_assert(second.parts.size() == 1 && second.parts[0].zone == "there", "a part is not sent on within its region");
@@ -581,7 +590,7 @@
 {
 public:
     /** `others` are further shards, whose near servers are silent and which have no far ones. */
-    explicit HedgeFixture(double repeatSlack = 100.0, const std::vector<Core::ServiceName> &others = {}) : GatewayFixture(repeatSlack)
+    explicit HedgeFixture(double retrySlack = 100.0, const std::vector<Core::ServiceName> &others = {}) : GatewayFixture(retrySlack)
     {
         makeSearch(*this, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
         // Hedges come soon and the target late, so that a busy machine does not change what comes first.
@@ -592,7 +601,7 @@
         for (const auto *shard : {"a", "b"}) {
             this->add(shard, std::string(shard) + "-near", [this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
                 if (this->isOpening) {
-                    exchange->respond(goodAnswer(request, "signature", record('a')));
+                    exchange->respond(successResponse(request, "signature", record('a')));
                 } else {
                     this->nearRequests.emplace_back(request, exchange);
                 }
@@ -602,7 +611,7 @@
             this->route().shards.push_back(shard);
             this->add(shard.value(), shard.value() + "-near", [this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
                 if (this->isOpening) {
-                    exchange->respond(goodAnswer(request, "signature", record('a')));
+                    exchange->respond(successResponse(request, "signature", record('a')));
                 }
             });
         }
@@ -614,7 +623,7 @@
         }
         this->gateway = &this->addGateway([this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
             auto headers = request.headers;
-            this->terms = Gateway::takeRelayTerms(headers);
+            this->parameters = Gateway::extractRelayParameters(headers);
             this->askedGateway.emplace_back(request, exchange);
         });
     }
@@ -641,7 +650,7 @@
     std::vector<std::pair<Wire::Request, Wire::ExchangePointer>> askedGateway;
     std::vector<TestSupport::ScriptedBackend *> far;
     TestSupport::ScriptedBackend *gateway{nullptr};
-    std::optional<Gateway::RelayTerms> terms;
+    std::optional<Gateway::RelayParameters> parameters;
 };
 
 }
@@ -652,14 +661,14 @@
     HedgeFixture fixture;
     fixture.route().topRecords = 0;
     fixture.beginAndHedge();
-    cr_assert(fixture.terms->leastRecord.empty());
+    cr_assert(fixture.parameters->minimumRecord.empty());
 }
 
 Test(FanOutRequest, hedgesShardsOfOneRegionTogether)
 {
     HedgeFixture fixture;
     fixture.beginAndHedge();
-    cr_assert(fixture.terms.has_value() && fixture.terms->isHedge && fixture.terms->shards.size() == 2);
+    cr_assert(fixture.parameters.has_value() && fixture.parameters->isHedge && fixture.parameters->shards.size() == 2);
     Protocol::PartialAnswer part;
     part.signatures = {"signature-a", "signature-b"};
     part.records = record('b') + record('a');
@@ -679,7 +688,7 @@
     fixture.beginAndHedge();
     for (const auto &[request, exchange] : fixture.nearRequests) {
         if (exchange == fixture.nearRequests.front().second) {
-            exchange->respond(goodAnswer(request, "signature-near", record('n')));
+            exchange->respond(successResponse(request, "signature-near", record('n')));
         }
     }
     fixture.settle(Core::milliseconds(20));
@@ -704,7 +713,7 @@
     fixture.answerPart(part);
     fixture.settle(Core::milliseconds(20));
     for (const auto &[request, exchange] : fixture.nearRequests) {
-        exchange->respond(goodAnswer(request, "signature-" + std::to_string(request.headers.size()), record('n')));
+        exchange->respond(successResponse(request, "signature-" + std::to_string(request.headers.size()), record('n')));
     }
     cr_assert(fixture.runUntil([&] {
         return fixture.answer.has_value();
@@ -728,8 +737,12 @@
 {
     GatewayFixture fixture(0.0);
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
-    fixture.relayTerms = Gateway::RelayTerms{
-        .targetLeft = Core::milliseconds(100), .holdLeft = Core::seconds(5), .mayMiss = 1, .mayDivide = false, .isHedge = true, .shards = {}};
+    fixture.relayParameters = Gateway::RelayParameters{.timeLeftToTarget = Core::milliseconds(100),
+        .timeLeftToDeadline = Core::seconds(5),
+        .maximumMissing = 1,
+        .mayRelayFurther = false,
+        .isHedge = true,
+        .shards = {}};
     const auto &near = fixture.add("a", "a1", answering(record('a')));
     const auto &far = fixture.addTo(fixture.pool, "b", "b1", silent, "there");
     const auto part = Rpc::deserialize<Protocol::PartialAnswer>(fixture.ask("r1").body);
@@ -750,7 +763,7 @@
         fixture.latencies.add(Core::milliseconds(150));
     }
     fixture.beginAndHedge();
-    cr_assert(fixture.terms.has_value() && fixture.terms->leastRecord == record('d'), "the second greatest that is in");
+    cr_assert(fixture.parameters.has_value() && fixture.parameters->minimumRecord == record('d'), "the second greatest that is in");
     Protocol::PartialAnswer part;
     part.signatures = {"signature-a", "signature-b"};
     part.records = record('x');
@@ -765,13 +778,13 @@
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a")}, 1.0);
-    fixture.relayTerms = Gateway::RelayTerms{.targetLeft = Core::seconds(5),
-        .holdLeft = Core::seconds(5),
-        .mayMiss = 0,
-        .mayDivide = false,
+    fixture.relayParameters = Gateway::RelayParameters{.timeLeftToTarget = Core::seconds(5),
+        .timeLeftToDeadline = Core::seconds(5),
+        .maximumMissing = 0,
+        .mayRelayFurther = false,
         .isHedge = true,
         .shards = {},
-        .leastRecord = record('b')};
+        .minimumRecord = record('b')};
     fixture.add("a", "a1", answering(record('a') + record('c') + record('b')));
     const auto part = Rpc::deserialize<Protocol::PartialAnswer>(fixture.ask("r1").body);
     cr_assert(part.has_value() && part->records == record('c') + record('b') && part->signatures.size() == 1);
@@ -783,9 +796,9 @@
     HedgeFixture fixture(100.0, {Core::ServiceName("c"), Core::ServiceName("d")});
     fixture.route().topRecords = 2;
     fixture.beginAndHedge();
-    cr_assert(fixture.terms->shards.size() == 2, "the others have no second backend server yet");
+    cr_assert(fixture.parameters->shards.size() == 2, "the others have no second backend server yet");
     const auto &[request, exchange] = fixture.nearRequests.front();
-    exchange->respond(goodAnswer(request, "signature-near", record('y') + record('z')));
+    exchange->respond(successResponse(request, "signature-near", record('y') + record('z')));
     fixture.settle(Core::milliseconds(50));
     for (const auto *shard : {"c", "d"}) {
         fixture.addTo(fixture.pool, shard, std::string(shard) + "-far", silent, "there");
@@ -793,7 +806,7 @@
     cr_assert(fixture.runUntil([&] {
         return fixture.askedGateway.size() == 2;
     }));
-    cr_assert(fixture.terms->shards.size() == 2 && fixture.terms->leastRecord.empty());
+    cr_assert(fixture.parameters->shards.size() == 2 && fixture.parameters->minimumRecord.empty());
 }
 
 // The load pattern of TestCellMap: a search's shards go in parts to the owners of their cells, several of which work side by side.
@@ -829,7 +842,7 @@
     std::size_t asked = whole.direct.size();
     for (const auto &part : whole.parts) {
         asked += part.shards.size();
-        cr_assert(part.mayDivide, "the owner sends on what is better asked for in another region");
+        cr_assert(part.mayRelayFurther, "the owner sends on what is better asked for in another region");
         cr_assert_not(part.owners.empty());
         cr_assert(part.shards.size() <= 40, "%zu shards for one owner", part.shards.size());
         cr_assert(cells.commonOwnersOf(part.shards, Shards, part.zone) == part.owners);
@@ -884,12 +897,12 @@
         makeSearch(*this, {Core::ServiceName("a"), Core::ServiceName("b")}, coverage);
         this->route().targetLatency = Core::milliseconds(1);
         // Until the gateway has answered, however busy the machine is.
-        this->targetsHeld = 10'000;
+        this->timeoutInTargets = 10'000;
         this->relayed = this->route().shards;
         this->owners = {Gateway::BackendName("gateway")};
         this->addGateway([this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
             auto headers = request.headers;
-            this->asked.push_back(Gateway::takeRelayTerms(headers).value());
+            this->asked.push_back(Gateway::extractRelayParameters(headers).value());
             Protocol::PartialAnswer part;
             if (this->asked.size() == 1) {
                 part.signatures = {"signature-a"};
@@ -907,7 +920,7 @@
         }
     }
 
-    std::vector<Gateway::RelayTerms> asked;
+    std::vector<Gateway::RelayParameters> asked;
 };
 
 }
@@ -924,7 +937,7 @@
     const auto &again = fixture.asked.back();
     cr_assert(again.shards == std::vector{Core::ServiceName("b")});
     cr_assert(again.before.executions == 1 && again.before.sends == 1 && again.before.counted, "the owner pays the repeat, and keeps to the attempts");
-    cr_assert_eq(again.mayMiss, 0, "nothing is gained by an answer without it");
+    cr_assert_eq(again.maximumMissing, 0, "nothing is gained by an answer without it");
 }
 
 Test(FanOutRequest, asksNobodyAgainOnceASearchHasEnough)
--- a/Tests/LibGateway/TestSlackShares.cpp
+++ b/Tests/LibGateway/TestSlackShares.cpp
@@ -10,7 +10,7 @@
 // a repeat. Whoever gets which part, all together never exceed the slack.
 
 #include <LibGateway/CellMap.h>
-#include <LibGateway/RepeatBudget.h>
+#include <LibGateway/RetryBudget.h>
 #include <LibGateway/SlackShares.h>
 
 #include <algorithm>
@@ -100,7 +100,7 @@
     double unknownFrom{1e9};
     std::unique_ptr<Gateway::CellMap> cells;
     std::unique_ptr<SlackShares> shares;
-    std::unique_ptr<Gateway::RepeatBudget> budget;
+    std::unique_ptr<Gateway::RetryBudget> budget;
 };
 
 /** A fleet whose gateways are killed, start again, and are cut off from the news, and the repeats that it takes. */
@@ -157,8 +157,8 @@
         gateway.unknownFrom = 1e9;
         gateway.cells = std::make_unique<Gateway::CellMap>(Gateway::CellOptions{}, gateway.zone, regions, gateway.address);
         gateway.shares = std::make_unique<SlackShares>(Gateway::SlackShareOptions{}, at(now));
-        gateway.budget = std::make_unique<Gateway::RepeatBudget>(
-            Gateway::RepeatBudgetOptions{.ratio = 0.2, .slack = Slack, .window = Core::seconds(10), .slackFrom = at(now + Window)});
+        gateway.budget = std::make_unique<Gateway::RetryBudget>(
+            Gateway::RetryBudgetOptions{.ratio = 0.2, .slack = Slack, .window = Core::seconds(10), .slackFrom = at(now + Window)});
     }
 
     void disturb(double now)
@@ -192,8 +192,8 @@
 
     int takeAll(GreedyGateway &gateway, double now)
     {
-        const bool hasNews = gateway.cutSince < 0.0;
-        if (hasNews) {
+        const bool hasReceivedUpdate = gateway.cutSince < 0.0;
+        if (hasReceivedUpdate) {
             std::map<std::string, std::vector<Gateway::CellGateway>> known;
             for (const auto &other : this->gateways) {
                 if (this->isKnown(other, now)) {
@@ -203,7 +203,7 @@
             gateway.cells->setGateways(known);
         }
         // As GatewayNode does it.
-        const bool mayOwn = hasNews || now - gateway.cutSince < 5.0;
+        const bool mayOwn = hasReceivedUpdate || now - gateway.cutSince < 5.0;
         gateway.shares->setGateways(static_cast<int>(this->gateways.size()), gateway.cells->cellsHaveOwners(), at(now));
         std::set<CellKey> own;
         for (const auto cell : gateway.cells->ownCells(Shards, 4)) {
@@ -212,7 +212,7 @@
         gateway.shares->setOwnCells(mayOwn ? own : std::set<CellKey>(), at(now));
         const CellKey cell(Shards, gateway.cells->cellOf(someShard, Shards, gateway.zone));
         int taken = 0;
-        while (gateway.budget->takeRepeat(at(now), gateway.shares->shareOfShard(cell, zoneNames.size(), true, at(now)))) {
+        while (gateway.budget->consumeRetry(at(now), gateway.shares->shareOfShard(cell, zoneNames.size(), true, at(now)))) {
             ++taken;
         }
         return taken;
--- a/Tests/LibGateway/TestColdAllowance.cpp
+++ b/Tests/LibGateway/TestWarmupLimiter.cpp
@@ -9,13 +9,13 @@
 // what one bears.
 
 #include <LibGateway/CellOwnership.h>
-#include <LibGateway/ColdAllowance.h>
+#include <LibGateway/WarmupLimiter.h>
 
 #include <criterion/criterion.h>
 #include <random>
 
-using Gateway::ColdAllowance;
 using Gateway::shareOfCold;
+using Gateway::WarmupLimiter;
 
 namespace
 {
@@ -38,7 +38,7 @@
 
 }
 
-Test(ColdAllowance, isAnEqualPartWhereThatIsOneAtLeast)
+Test(WarmupLimiter, isAnEqualPartWhereThatIsOneAtLeast)
 {
     cr_assert_eq(shareOfCold({.total = 40, .gateways = 9, .inZone = 3, .rank = 2}), 2);
     cr_assert_eq(shareOfCold({.total = 40, .gateways = 9, .inZone = 3, .rank = std::nullopt}), 2);
@@ -49,9 +49,9 @@
     cr_assert_eq(shareOfCold({.total = 0, .gateways = 65, .inZone = 11, .rank = 0}), 0);
 }
 
-Test(ColdAllowance, countsAnySecond)
+Test(WarmupLimiter, countsAnySecond)
 {
-    ColdAllowance allowance({.overshoot = 1.5, .slack = 5.0});
+    WarmupLimiter allowance({.overshoot = 1.5, .slack = 5.0});
     cr_assert_eq(allowance.total(4.0), 11);
     const Gateway::BackendName backend("one");
     for (const double time : {0.0, 0.4, 0.9}) {
@@ -67,7 +67,7 @@
 }
 
 // All gateways know the same ones here; what they may differ in is how many of them the busiest moment lately had.
-Test(ColdAllowance, neverAddsUpToMoreThanTheTotal)
+Test(WarmupLimiter, neverAddsUpToMoreThanTheTotal)
 {
     std::mt19937 random(7);
     const std::vector<std::string> zones{"a", "b", "c"};
@@ -87,8 +87,8 @@
             Fleet::Declaration declaration;
             declaration.routes.emplace_back();
             declaration.routes.back().shards.assign(90, service);
-            ownership.takeDeclaration(declaration);
-            ownership.takeGateways(registry, at(0.0));
+            ownership.applyDeclaration(declaration);
+            ownership.updateGateways(registry, at(0.0));
             // Some remember more gateways than there are now, which makes their part smaller.
             const int known = count + static_cast<int>(random() % 3);
             ownership.advance({.gateways = known, .mayOwn = random() % 5 != 0}, Core::seconds(1), at(1.0));
@@ -99,7 +99,7 @@
 }
 
 // One that counts a gateway more than the others may find that an equal part is none, and share by rank beside their equal parts.
-Test(ColdAllowance, neverAddsUpToMoreThanTheTotalWhereCountsDiffer)
+Test(WarmupLimiter, neverAddsUpToMoreThanTheTotalWhereCountsDiffer)
 {
     for (int total = 1; total <= 60; ++total) {
         for (int gateways = 1; gateways <= 30; ++gateways) {
@@ -117,7 +117,7 @@
 }
 
 // A gateway that has not heard yet of a change may still spend its former part, so nobody spends a new one by rank for a while.
-Test(ColdAllowance, isNotGivenByRankWhileGatewaysChange)
+Test(WarmupLimiter, isNotGivenByRankWhileGatewaysChange)
 {
     Fleet::BackendRegistry registry;
     for (int number = 0; number < 40; ++number) {
@@ -127,12 +127,12 @@
         return ownership.coldShareOf(Core::ServiceName("s"), "a", 78, at(time));
     };
     Gateway::CellOwnership ownership({}, "a", {{"a", "one"}}, "10.0.0.1:1", at(0.0));
-    ownership.takeGateways(registry, at(0.0));
+    ownership.updateGateways(registry, at(0.0));
     ownership.advance({.gateways = 40, .mayOwn = true}, Core::seconds(1), at(0.0));
     const int settled = shareAt(ownership, 3.0);
     cr_assert_eq(shareAt(ownership, 2.9), 0);
     registry.merge(gateway(40, "a"), at(5.0));
-    ownership.takeGateways(registry, at(5.0));
+    ownership.updateGateways(registry, at(5.0));
     cr_assert_eq(shareAt(ownership, 7.9), 0);
     cr_assert_geq(settled, 0);
     ownership.advance({.gateways = 41, .mayOwn = false}, Core::seconds(1), at(9.0));
--- a/Tests/LibWire/TestClientConnection.cpp
+++ b/Tests/LibWire/TestClientConnection.cpp
@@ -215,7 +215,7 @@
     cr_assert(server.accept());
     server.socket = Wire::Socket();
     cr_assert(client.hasResults(1));
-    cr_assert(client.results[0].end == Wire::ClientEnd::TurnedAway);
+    cr_assert(client.results[0].end == Wire::ClientEnd::ConnectionRejected);
     cr_assert(client.connection->isClosed());
 }
 
@@ -271,9 +271,9 @@
     Client client(fixture, server);
     client.send("a");
     cr_assert(client.connection->withdraw());
-    cr_assert_not(client.connection->hasCarried("a"), "it has not left");
+    cr_assert_not(client.connection->hasSent("a"), "it has not left");
     client.send("a");
-    cr_assert(client.connection->hasCarried("a"));
+    cr_assert(client.connection->hasSent("a"));
     cr_assert(server.accept());
     server.send(answerTo("a", "mine"));
     cr_assert(client.hasResults(1));
@@ -293,7 +293,7 @@
         cr_assert(sent > 0 || server.accept());
         server.send(answerTo(std::to_string(sent), ""));
         cr_assert(client.hasResults(++sent));
-        cr_assert(client.connection->hasCarried("0"));
+        cr_assert(client.connection->hasSent("0"));
     }
     cr_assert(client.connection->isClosed(), "it went on for %zu requests", sent);
     cr_assert(client.results.back().end == Wire::ClientEnd::Answered, "the last one is answered, too");
@@ -319,7 +319,7 @@
             this->fixture.timers)
                            .value();
         this->connection = Wire::ClientConnection::create({.endpoint = this->endpoint,
-                                                              .silenceLimit = Core::milliseconds(80),
+                                                              .acknowledgementTimeout = Core::milliseconds(80),
                                                               .awaitsAcknowledgement =
                                                                   [isAcknowledged](const Wire::Socket &) {
                                                                       return !isAcknowledged;
@@ -366,7 +366,7 @@
     const auto endpoint = TestSupport::freeEndpoint();
     const auto listener = Wire::Socket::listenOn(endpoint, 4).value();
     const auto connection = Wire::ClientConnection::create({.endpoint = endpoint,
-                                                               .silenceLimit = Core::milliseconds(80),
+                                                               .acknowledgementTimeout = Core::milliseconds(80),
                                                                .awaitsAcknowledgement =
                                                                    [](const Wire::Socket &) {
                                                                        return true;
--- a/Tests/LibWire/TestServer.cpp
+++ b/Tests/LibWire/TestServer.cpp
@@ -104,7 +104,7 @@
     }));
     cr_assert_not(served.exchanges[0]->isOpen());
     served.exchanges[0]->respond(respondWith("nobody"));
-    cr_assert(served.server->underWay() == 0);
+    cr_assert(served.server->inFlight() == 0);
 }
 
 Test(Server, refusesWhatBreaksItsLimits)
--- a/Tests/Platform/TestCodecs.cpp
+++ b/Tests/Platform/TestCodecs.cpp
@@ -188,8 +188,8 @@
     cr_assert(routes[0].allowedRegions.allows("bern") && !routes[0].allowedRegions.allows("lausanne") && !routes[0].allowedRegions.allows(""));
     cr_assert(routes[1].allowedRegions.isAnywhere() && routes[2].allowedRegions.isAnywhere(), "an empty list binds nothing");
     const auto &service = read.value()->services.at(Core::ServiceName("a"));
-    cr_assert(service.warmupTime == Core::milliseconds(3500) && service.coldRequestsPerSecond == 4.0);
-    cr_assert(read.value()->services.at(Core::ServiceName("b")).coldRequestsPerSecond == 0.0);
+    cr_assert(service.warmupTime == Core::milliseconds(3500) && service.warmupRequestsPerSecond == 4.0);
+    cr_assert(read.value()->services.at(Core::ServiceName("b")).warmupRequestsPerSecond == 0.0);
     cr_assert(Platform::checkRegions(*read.value(), {{"z1", "bern"}, {"z2", "zurich"}}).has_value());
     cr_assert_not(Platform::checkRegions(*read.value(), {{"z1", "bern"}}).has_value());
 }
@@ -279,8 +279,8 @@
     const auto read = [&dialect](const char *text) {
         return dialect.readReply(Wire::Response{.status = 200, .headers = {{"Server-Load", text}}, .body = {}}).load;
     };
-    cr_assert(read("3,1,8").has_value() && read("3,1,8")->waiting == 1 && !read("3,1,8")->pace.has_value());
-    cr_assert(read("3,1,8,400").has_value() && read("3,1,8,400")->slots == 8 && read("3,1,8,400")->pace == 4.0);
+    cr_assert(read("3,1,8").has_value() && read("3,1,8")->waiting == 1 && !read("3,1,8")->slowdown.has_value());
+    cr_assert(read("3,1,8,400").has_value() && read("3,1,8,400")->slots == 8 && read("3,1,8,400")->slowdown == 4.0);
     cr_assert(read("3,1,8,100,7").has_value(), "more may follow");
     for (const char *bad : {"", "3", "3,1", "3,1,x", "3,1,8,x", "3,1,8,-1"}) {
         cr_assert_not(read(bad).has_value(), "%s", bad);
@@ -320,7 +320,7 @@
             {"Transfer-Encoding", "chunked"}},
         .body = "body"};
     const auto request = dialect.readRequest(std::move(message));
-    cr_assert(request.id.value() == "id-1" && request.host == "h.example" && request.patience == Core::milliseconds(500));
+    cr_assert(request.id.value() == "id-1" && request.host == "h.example" && request.callerTimeout == Core::milliseconds(500));
     std::string bytes;
     dialect.writeRequest(bytes, {.caller = &request, .backend = Gateway::BackendName("i-9"), .timeLeft = Core::milliseconds(321)});
     cr_assert(bytes.starts_with("POST /a/b?c=1 HTTP/1.1\r\n"));
@@ -384,7 +384,7 @@
         "seed_nodes=10.1.0.9:8106,10.2.0.21:8106\nbootstrap=true\nlimits.cpu_quota=0.12\nfault_tolerance.machines=2\nbounds.retry_budget_ratio=0.2\nfuture."
         "field=x\nno equals sign\n");
     cr_assert(read.has_value());
-    cr_assert(read->regions.size() == 2 && read->seeds.size() == 2 && read->firstStart && read->tolerableLosses == 2);
+    cr_assert(read->regions.size() == 2 && read->seeds.size() == 2 && read->firstStart && read->toleratedFailures == 2);
     cr_assert(read->processorShare == 0.12);
     cr_assert(Platform::watchEndpoints(read.value())[1].toString() == "10.2.0.21:7380");
     cr_assert_not(read->readinessListen.has_value());
--- a/Tests/Support/StutteringBackend.h
+++ b/Tests/Support/DuplicatingBackend.h
@@ -21,27 +21,27 @@
 namespace TestSupport
 {
 
-class StutteringBackend;
+class DuplicatingBackend;
 
 /** One connection to it. */
-class StutteringConnection : public Core::EventHandler
+class DuplicatingConnection : public Core::EventHandler
 {
 public:
-    StutteringConnection(StutteringBackend &backend, Wire::Socket socket) : backend(backend), socket(std::move(socket))
+    DuplicatingConnection(DuplicatingBackend &backend, Wire::Socket socket) : backend(backend), socket(std::move(socket))
     {
     }
 
     void handleEvents(std::uint32_t events) override;
 
-    void write(const Wire::Response &response, const Wire::ConnectionTerms &terms = {}) const
+    void write(const Wire::Response &response, const Wire::ResponseOptions &options = {}) const
     {
         std::string bytes;
-        Wire::appendResponse(bytes, response, terms);
+        Wire::appendResponse(bytes, response, options);
         std::size_t offset = 0;
         (void)this->socket.write(bytes, offset);
     }
 
-    StutteringBackend &backend;
+    DuplicatingBackend &backend;
     Wire::Socket socket;
     Wire::MessageParser parser{Wire::MessageKind::Request, {}};
     std::string input;
@@ -50,17 +50,17 @@
 };
 
 /** A run of a request, which waits for its answer. */
-struct StutteringRun {
+struct DuplicatingRun {
     int number{0};
     Wire::Request request;
-    std::shared_ptr<StutteringConnection> connection;
+    std::shared_ptr<DuplicatingConnection> connection;
 };
 
 /** Notes each run; a test decides when it is answered, with what, and what is owed afterwards. */
-class StutteringBackend : public Core::EventHandler, public std::enable_shared_from_this<StutteringBackend>
+class DuplicatingBackend : public Core::EventHandler, public std::enable_shared_from_this<DuplicatingBackend>
 {
 public:
-    explicit StutteringBackend(LoopFixture &fixture)
+    explicit DuplicatingBackend(LoopFixture &fixture)
         : fixture(fixture), endpoint(freeEndpoint()), listener(std::move(Wire::Socket::listenOn(this->endpoint, 16).value()))
     {
     }
@@ -74,13 +74,13 @@
     {
         for (auto accepted = this->listener.acceptOne(); accepted.isOpen(); accepted = this->listener.acceptOne()) {
             const int descriptor = accepted.number();
-            this->connections.push_back(std::make_shared<StutteringConnection>(*this, std::move(accepted)));
+            this->connections.push_back(std::make_shared<DuplicatingConnection>(*this, std::move(accepted)));
             this->fixture.poll->add(descriptor, EPOLLIN | EPOLLRDHUP, this->connections.back());
         }
     }
 
     /** Answers a run, and again when the next request comes over its connection: under the same id, with the same headers and `secondBody`. */
-    void answerTwice(const StutteringRun &run, Wire::Response response, const std::string &secondBody) const
+    void answerTwice(const DuplicatingRun &run, Wire::Response response, const std::string &secondBody) const
     {
         run.connection->write(response);
         response.body = secondBody;
@@ -88,16 +88,16 @@
     }
 
     /** Called with each run, once what is owed on its connection was sent. */
-    std::function<void(const StutteringRun &run)> onRun;
+    std::function<void(const DuplicatingRun &run)> onRun;
 
     LoopFixture &fixture;
     Core::Endpoint endpoint;
     Wire::Socket listener;
-    std::vector<std::shared_ptr<StutteringConnection>> connections;
-    std::vector<StutteringRun> runs;
+    std::vector<std::shared_ptr<DuplicatingConnection>> connections;
+    std::vector<DuplicatingRun> runs;
 };
 
-inline void StutteringConnection::handleEvents(std::uint32_t)
+inline void DuplicatingConnection::handleEvents(std::uint32_t)
 {
     const auto transfer = this->socket.read(this->input, 65536);
     while (!this->input.empty()) {
--- a/Tests/Support/FakeBackend.cpp
+++ b/Tests/Support/FakeBackend.cpp
@@ -24,7 +24,7 @@
 using Entry::BackendHeader::SnapshotVersion;
 using Entry::BackendHeader::TimeLeft;
 
-static constexpr double ColdFactor = 3.0;
+static constexpr double WarmupLatencyFactor = 3.0;
 static constexpr Core::Duration DrainPollPeriod = Core::milliseconds(20);
 static constexpr std::int32_t HugeLoad = 1000;
 
@@ -206,7 +206,7 @@
         this->abandon(id);
     };
     this->queue.push_back(Work{.id = id, .request = request, .responder = responder, .deadline = this->timers.now() + Core::milliseconds(timeLeft)});
-    this->counts.longestQueue = std::max(this->counts.longestQueue, this->queue.size());
+    this->counts.maximumQueueLength = std::max(this->counts.maximumQueueLength, this->queue.size());
     this->startNext();
 }
 
@@ -219,8 +219,8 @@
     if (percent(this->random) < this->options.faults.stragglerPercent) {
         microseconds *= this->options.faults.stragglerFactor;
     }
-    if (this->timers.now() - this->startedAt < this->options.coldTime) {
-        microseconds *= ColdFactor;
+    if (this->timers.now() - this->startedAt < this->options.warmupTime) {
+        microseconds *= WarmupLatencyFactor;
     }
     return Core::Duration(static_cast<Core::Duration::rep>(microseconds));
 }
@@ -335,7 +335,7 @@
     const std::string key = request.header(IdempotencyKey);
     // NOTE: A real backend server may not notice a doubled action; this one counts them to find ours.
     if (!this->executedKeys.insert(key).second) {
-        ++this->counts.doubledActions;
+        ++this->counts.duplicateActions;
     }
     if (!this->options.actionLog.empty()) {
         std::ofstream(this->options.actionLog, std::ios::app) << key << "\n";
--- a/Tests/Support/FakeBackend.h
+++ b/Tests/Support/FakeBackend.h
@@ -63,7 +63,7 @@
     /** The share of the service time that varies, exponentially distributed. */
     double variableShare{0.5};
     /** After the start everything takes three times as long. */
-    Core::Duration coldTime{0};
+    Core::Duration warmupTime{0};
     std::size_t queueLimit{32};
     Core::Duration announcePeriod{Core::milliseconds(1000)};
     /** Lines of executed actions are appended here; empty: nowhere. */
@@ -79,8 +79,8 @@
     std::uint64_t shed{0};
     std::uint64_t refusedDraining{0};
     std::uint64_t cancelled{0};
-    std::uint64_t doubledActions{0};
-    std::size_t longestQueue{0};
+    std::uint64_t duplicateActions{0};
+    std::size_t maximumQueueLength{0};
 };
 
 /** Serves from create() until destroyed. */
--- a/Tests/Support/FakeControlCluster.cpp
+++ b/Tests/Support/FakeControlCluster.cpp
@@ -46,14 +46,14 @@
     return {};
 }
 
-void FakeControlCluster::bootstrap(std::size_t founders)
+void FakeControlCluster::bootstrap(std::size_t initialMembers)
 {
     Protocol::Membership membership;
-    for (std::size_t index = 0; index < founders; ++index) {
+    for (std::size_t index = 0; index < initialMembers; ++index) {
         membership.members.push_back(this->node(index)->log().identity());
         membership.members.back().voter = true;
     }
-    for (std::size_t index = 0; index < founders; ++index) {
+    for (std::size_t index = 0; index < initialMembers; ++index) {
         static_cast<void>(this->node(index)->bootstrap(membership));
     }
 }
--- a/Tests/Support/FakeControlCluster.h
+++ b/Tests/Support/FakeControlCluster.h
@@ -36,8 +36,8 @@
 public:
     FakeControlCluster(std::size_t count, std::uint64_t seed, Control::ControlNodeOptions base = {});
 
-    /** Founds the log on the first `founders` instances. */
-    void bootstrap(std::size_t founders);
+    /** Founds the log on the first `initialMembers` instances. */
+    void bootstrap(std::size_t initialMembers);
 
     /** Moves the time on in small steps. */
     void run(Core::Duration duration);
--- a/Tests/Support/FakeTransport.h
+++ b/Tests/Support/FakeTransport.h
@@ -109,7 +109,7 @@
         this->settlements.push_back({request, std::move(done)});
     }
 
-    void tryElsewhere(const std::string &) override
+    void tryAnotherInstance(const std::string &) override
     {
         ++this->elsewhere;
     }
--- a/Tests/Support/GatewayFixture.h
+++ b/Tests/Support/GatewayFixture.h
@@ -77,13 +77,13 @@
     void handleEvents(std::uint32_t) override
     {
         while (this->listener.acceptOne().isOpen()) {
-            ++this->turnedAway;
+            ++this->connectionRejected;
         }
     }
 
     Core::Endpoint endpoint;
     Wire::Socket listener;
-    int turnedAway{0};
+    int connectionRejected{0};
 };
 
 /** What every answer says: the request's id, and between gateways the name of the send. */
@@ -97,7 +97,7 @@
 }
 
 /** An answer as a backend server of the platform gives it. */
-[[nodiscard]] inline Wire::Response goodAnswer(const Wire::Request &request, const std::string &signature, const std::string &body)
+[[nodiscard]] inline Wire::Response successResponse(const Wire::Request &request, const std::string &signature, const std::string &body)
 {
     Wire::Response response{.status = 200, .headers = answerHeaders(request), .body = body};
     response.headers.push_back({"Response-Signature", signature});
@@ -113,7 +113,7 @@
 }
 
 /** A failure; with `notExecuted` the backend server says that it did not run the request. */
-[[nodiscard]] inline Wire::Response badAnswer(const Wire::Request &request, int status, bool notExecuted)
+[[nodiscard]] inline Wire::Response errorResponse(const Wire::Request &request, int status, bool notExecuted)
 {
     Wire::Response response{.status = status, .headers = answerHeaders(request), .body = {}};
     if (notExecuted) {
@@ -126,22 +126,22 @@
 class GatewayFixture : public LoopFixture
 {
 public:
-    explicit GatewayFixture(double repeatSlack = 100.0)
+    explicit GatewayFixture(double retrySlack = 100.0)
         : dialect(Platform::makeDialect())
-        , pool(poolOptions(repeatSlack), this->dialect, *this->poll, this->timers)
-        , relays(poolOptions(repeatSlack), this->relayDialect, *this->poll, this->timers)
+        , pool(poolOptions(retrySlack), this->dialect, *this->poll, this->timers)
+        , relays(poolOptions(retrySlack), this->relayDialect, *this->poll, this->timers)
     {
         this->route().timeout = Core::seconds(10);
         this->pool.setGatewayCount(1, 1);
         this->relays.setGatewayCount(1, 1);
     }
 
-    static Gateway::BackendPoolOptions poolOptions(double repeatSlack)
+    static Gateway::BackendPoolOptions poolOptions(double retrySlack)
     {
         Gateway::BackendPoolOptions options;
         options.zone = Core::ZoneName("here");
         options.regions = {{"here", "home"}, {"beside", "home"}, {"there", "away"}, {"yonder", "far away"}};
-        options.budget.slack = repeatSlack;
+        options.budget.slack = retrySlack;
         options.undeclaredCap = 4;
         return options;
     }
@@ -219,17 +219,17 @@
             .latencies = &this->latencies,
             .relayLatencies = &this->relayLatencies,
             .cells = &this->cells,
-            .relayTerms = this->relayTerms};
-        if (context.relayTerms.has_value() && context.relayTerms->topRecords == 0) {
-            context.relayTerms->topRecords = this->editableRoute.topRecords;
+            .relayParameters = this->relayParameters};
+        if (context.relayParameters.has_value() && context.relayParameters->topRecords == 0) {
+            context.relayParameters->topRecords = this->editableRoute.topRecords;
         }
         const auto &used = this->declaration->routes.front();
         auto request = this->dialect.readRequest(std::move(message));
         if (used.isFanOut()) {
             Gateway::RelayPlan plan;
-            plan.targetsHeld = this->targetsHeld;
+            plan.timeoutInTargets = this->timeoutInTargets;
             if (!this->relayed.empty()) {
-                plan.parts.push_back({.zone = "there", .shards = this->relayed, .mayDivide = false, .owners = this->owners});
+                plan.parts.push_back({.zone = "there", .shards = this->relayed, .mayRelayFurther = false, .owners = this->owners});
             }
             std::copy_if(used.shards.begin(), used.shards.end(), std::back_inserter(plan.direct), [this](const auto &shard) {
                 return std::find(this->relayed.begin(), this->relayed.end(), shard) == this->relayed.end();
@@ -239,7 +239,7 @@
                 used,
                 std::move(request),
                 std::move(plan),
-                this->relayTerms.has_value() ? Gateway::Asker::OtherGateway : Gateway::Asker::Caller);
+                this->relayParameters.has_value() ? Gateway::RequestOrigin::OtherGateway : Gateway::RequestOrigin::Caller);
         } else {
             this->request = std::make_unique<Gateway::SingleRequest>(context, this->table, used, std::move(request), used.targets.front().service);
         }
@@ -256,11 +256,11 @@
     Gateway::Dialect relayDialect{Gateway::makeRelayDialect(this->dialect)};
     std::vector<Core::ServiceName> relayed;
     // For how many targets parts are waited for.
-    int targetsHeld{4};
+    int timeoutInTargets{4};
     // Gateways that own what is relayed.
     std::vector<Gateway::BackendName> owners;
     // Set when another gateway asks; it wants as many records as the route says where it does not say itself.
-    std::optional<Gateway::RelayTerms> relayTerms;
+    std::optional<Gateway::RelayParameters> relayParameters;
     Gateway::BackendPool pool;
     Gateway::BackendPool *usedPool{&this->pool};
     Gateway::BackendPool relays;
--- a/Tests/Support/NodeFixture.h
+++ b/Tests/Support/NodeFixture.h
@@ -65,13 +65,13 @@
 private:
     [[nodiscard]] Protocol::WatchReply replyTo(const Protocol::WatchRequest &request, Core::Instant now) const
     {
-        const bool sameLife = request.coordinatorIncarnation == 1;
+        const bool isSameIncarnation = request.coordinatorIncarnation == 1;
         Protocol::WatchReply reply;
         reply.coordinatorIncarnation = 1;
         reply.cursor = this->backends.position();
-        reply.changed = this->backends.changedSince(sameLife ? request.cursor : 0, now);
+        reply.changed = this->backends.changedSince(isSameIncarnation ? request.cursor : 0, now);
         reply.gatewayCursor = this->gateways.position();
-        reply.changedGateways = this->gateways.changedSince(sameLife ? request.gatewayCursor : 0, now);
+        reply.changedGateways = this->gateways.changedSince(isSameIncarnation ? request.gatewayCursor : 0, now);
         reply.declarationVersion = this->version;
         reply.hasLeader = true;
         reply.confirmed = request.confirm;
@@ -143,7 +143,7 @@
     ScriptedBackend &addBackend(const std::string &service, const std::string &id, const std::string &zone)
     {
         this->backends.push_back(std::make_unique<ScriptedBackend>(*this, id, [id](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-            exchange->respond(goodAnswer(request, "signature-" + id, std::string(16, 'r')));
+            exchange->respond(successResponse(request, "signature-" + id, std::string(16, 'r')));
         }));
         Protocol::BackendAnnouncement announcement;
         announcement.id = id;
--- a/Utilities/crankctl/main.cpp
+++ b/Utilities/crankctl/main.cpp
@@ -287,7 +287,7 @@
 
 static CommandExit bootstrap(const OperatorConnection &connection, const CommandSettings &, const std::vector<std::string> &)
 {
-    Protocol::Membership founders;
+    Protocol::Membership initialMembers;
     for (const auto &instance : connection.instances()) {
         Protocol::ControlStatus reply;
         const auto outcome = connection.callOne(instance, [&reply](Protocol::OperatorClient &client) {
@@ -298,16 +298,16 @@
         }
         if (reply.initialised) {
             // Begun before and interrupted: the list of the first run holds.
-            founders = reply.membership;
+            initialMembers = reply.membership;
             break;
         }
-        founders.members.push_back(reply.identity);
-        founders.members.back().voter = true;
+        initialMembers.members.push_back(reply.identity);
+        initialMembers.members.back().voter = true;
     }
     for (const auto &instance : connection.instances()) {
         Protocol::MemberOutcome reply;
-        const auto outcome = connection.callOne(instance, [&founders, &reply](Protocol::OperatorClient &client) {
-            client.bootstrap(reply, founders);
+        const auto outcome = connection.callOne(instance, [&initialMembers, &reply](Protocol::OperatorClient &client) {
+            client.bootstrap(reply, initialMembers);
         });
         if (!outcome.has_value()) {
             return fail(outcome.error());
@@ -317,7 +317,7 @@
             return CommandExit::Refused;
         }
     }
-    fmt::print("status=founded members={}\n", founders.members.size());
+    fmt::print("status=founded members={}\n", initialMembers.members.size());
     return CommandExit::Success;
 }
 
--- a/Utilities/crankmeasure/ClaimLoad.cpp
+++ b/Utilities/crankmeasure/ClaimLoad.cpp
@@ -62,7 +62,7 @@
         return;
     }
     ++this->failures;
-    this->client.tryElsewhere(reply.has_value() ? reply->leaderAddress : std::string());
+    this->client.tryAnotherInstance(reply.has_value() ? reply->leaderAddress : std::string());
     this->pauses.push_back(this->timers.once(RetryPause, [this](Core::Instant) {
         this->next();
     }));
--- a/Utilities/fakebackendd/main.cpp
+++ b/Utilities/fakebackendd/main.cpp
@@ -98,7 +98,7 @@
     options.connectionCap = static_cast<std::size_t>(values.connectionCap);
     options.connectionOpenCost = Core::Duration(values.openCostMicroseconds);
     options.serviceTime = Core::Duration(values.serviceTimeMicroseconds);
-    options.coldTime = Core::milliseconds(values.coldMilliseconds);
+    options.warmupTime = Core::milliseconds(values.coldMilliseconds);
     options.actionLog = values.actionLog;
     options.seed = static_cast<std::uint64_t>(values.seed + position);
     options.faults.stragglerPercent = static_cast<double>(values.stragglerPermille) / 10.0;
@@ -140,9 +140,9 @@
                 {"shed", counts.shed},
                 {"refused_draining", counts.refusedDraining},
                 {"cancelled", counts.cancelled},
-                {"doubled_actions", counts.doubledActions},
-                {"longest_queue", counts.longestQueue},
-                {"most_connections", backend->connectionCounters().mostConnections},
+                {"doubled_actions", counts.duplicateActions},
+                {"longest_queue", counts.maximumQueueLength},
+                {"most_connections", backend->connectionCounters().peakConnections},
                 {"connections_refused", backend->connectionCounters().refused}});
     }
     return {};
