--- a/Libraries/LibConsensus/ReplicatedLog.h
+++ b/Libraries/LibConsensus/ReplicatedLog.h
@@ -43,7 +43,7 @@
     /** Name and addresses; the storage id is filled in from the data folder. */
     Protocol::Member identity;
     /** Adds a part of the storage id to the name, so that an instance whose folder was lost is another member when it returns. */
-    bool nameWithFolder{false};
+    bool appendStorageIdToName{false};
     Core::Duration heartbeatPeriod{Core::milliseconds(100)};
     /** Nobody stands for election within this time of hearing from a leader. */
     Core::Duration electionTimeout{Core::milliseconds(500)};
--- a/Libraries/LibConsensus/WaitingProposals.h
+++ b/Libraries/LibConsensus/WaitingProposals.h
@@ -27,7 +27,7 @@
     struct Decided {
         Hook hook;
         /** Whether it is the proposed entry that stands there; another leader may have put its own in the place. */
-        bool isOwn{false};
+        bool isProposedEntry{false};
     };
 
     void add(std::int64_t index, std::int64_t term, Hook hook)
@@ -42,7 +42,7 @@
         if (found == this->waiting.end()) {
             return std::nullopt;
         }
-        Decided decided{.hook = std::move(found->second.hook), .isOwn = found->second.term == entry.term};
+        Decided decided{.hook = std::move(found->second.hook), .isProposedEntry = found->second.term == entry.term};
         this->waiting.erase(found);
         return decided;
     }
--- a/Libraries/LibControl/ControlNode.cpp
+++ b/Libraries/LibControl/ControlNode.cpp
@@ -147,7 +147,7 @@
     }
     const auto decided = this->waiting.take(entry);
     if (decided.has_value()) {
-        decided->hook(decided->isOwn ? &outcome : nullptr);
+        decided->hook(decided->isProposedEntry ? &outcome : nullptr);
     }
 }
 
--- a/Libraries/LibStorage/Batch.h
+++ b/Libraries/LibStorage/Batch.h
@@ -24,7 +24,7 @@
 
 /** What the bytes at some place of a file turned out to be. */
 enum class BatchState {
-    Whole,
+    Intact,
     /** A crash cut the last write short. */
     Torn,
     /** Bytes changed after they were written. */
