--- a/Libraries/LibConsensus/LogStore.cpp
+++ b/Libraries/LibConsensus/LogStore.cpp
@@ -8,6 +8,7 @@
 namespace Consensus
 {
 
+// Estimate of the bytes that an entry takes in a message beside its command.
 static constexpr std::size_t EntryOverheadBytes = 32;
 
 LogStore::LogStore(Storage::WriteAheadLog &writeAheadLog, Storage::RecoveredState recovered)
@@ -83,7 +84,7 @@
 
 void LogStore::append(const Protocol::LogEntry &entry)
 {
-    this->writeAheadLog.putEntry(entry);
+    this->writeAheadLog.queueEntry(entry);
     this->entries.push_back(entry);
     if (entry.__isset.membership) {
         this->memberships.push_back(MembershipAtIndex{.index = entry.index, .membership = entry.membership});
@@ -92,7 +93,7 @@
 
 void LogStore::truncateFrom(std::int64_t index)
 {
-    this->writeAheadLog.putTruncation(index);
+    this->writeAheadLog.queueTruncation(index);
     while (!this->entries.empty() && this->entries.back().index >= index) {
         this->entries.pop_back();
     }
@@ -127,8 +128,8 @@
     snapshot.term = this->termAt(index).value_or(0);
     snapshot.state = std::move(state);
     snapshot.membership = this->membershipAt(index);
-    const std::vector<Protocol::LogEntry> rest(this->entries.begin() + static_cast<std::ptrdiff_t>(this->positionOf(index)) + 1, this->entries.end());
-    auto outcome = this->writeAheadLog.compact(snapshot, term, votedFor, rest);
+    const std::vector<Protocol::LogEntry> remaining(this->entries.begin() + static_cast<std::ptrdiff_t>(this->positionOf(index)) + 1, this->entries.end());
+    auto outcome = this->writeAheadLog.compact(snapshot, term, votedFor, remaining);
     if (!outcome.has_value()) {
         return outcome;
     }
@@ -137,7 +138,7 @@
         return known.index <= index;
     });
     this->memberships.insert(this->memberships.begin(), std::move(base));
-    this->entries.assign(rest.begin(), rest.end());
+    this->entries.assign(remaining.begin(), remaining.end());
     this->latestSnapshot = std::move(snapshot);
     return {};
 }
--- a/Libraries/LibConsensus/LogStore.h
+++ b/Libraries/LibConsensus/LogStore.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The entries that one control instance holds, in memory and on disk, with the
-// memberships that they carry. Knows nothing of terms of office or of peers.
+// The log entries of one member, in memory and on disk, with the memberships that they carry. Elections and replication are in
+// ReplicatedLog.h.
 
 #pragma once
 
@@ -19,13 +19,13 @@
 namespace Consensus
 {
 
-/** A membership and the entry that brought it; index 0 when a snapshot did. */
+/** A membership and the index from which it holds: that of its entry or of the snapshot; 0 for the empty membership before bootstrap. */
 struct MembershipAtIndex {
     std::int64_t index{0};
     Protocol::Membership membership;
 };
 
-/** Entries after the latest snapshot, and that snapshot. */
+/** The latest snapshot and the entries that follow it. */
 class LogStore
 {
 public:
@@ -36,31 +36,31 @@
     [[nodiscard]] std::int64_t snapshotIndex() const;
     [[nodiscard]] const std::optional<Protocol::StoredSnapshot> &snapshot() const;
 
-    /** The term of an entry; nothing when it lies before the snapshot or after the end. */
+    /** The term of the entry at an index, or nothing when the index is before the snapshot or after the last entry. */
     [[nodiscard]] std::optional<std::int64_t> termAt(std::int64_t index) const;
 
-    /** The entry must be held. */
+    /** The entry at an index, which has to be after the snapshot and not after the last entry. */
     [[nodiscard]] const Protocol::LogEntry &entryAt(std::int64_t index) const;
 
-    /** Up to `maximumBytes` of entries, at least one if there is one. */
+    /** The entries from an index on, up to about `maximumBytes`. The first entry is always included, even when it is larger. */
     [[nodiscard]] std::vector<Protocol::LogEntry> entriesFrom(std::int64_t index, std::size_t maximumBytes) const;
 
-    /** Queues an entry that follows the last one. */
+    /** Appends an entry, whose index has to follow the last one. The entry is on disk after the next flush of the write-ahead log. */
     void append(const Protocol::LogEntry &entry);
 
-    /** Drops all entries from an index on. */
+    /** Removes all entries from an index on. */
     void truncateFrom(std::int64_t index);
 
-    /** The members according to the last entry that names them, committed or not. */
+    /** The membership of the last entry that carries one, committed or not. */
     [[nodiscard]] const Protocol::Membership &membership() const;
     [[nodiscard]] std::int64_t membershipIndex() const;
-    /** The members as of an index. */
+    /** The membership that holds at an index. */
     [[nodiscard]] const Protocol::Membership &membershipAt(std::int64_t index) const;
 
-    /** Puts a state in the place of all entries up to an index that is held. */
+    /** Replaces all entries up to an index by a snapshot of `state`. The entry at the index has to be stored. */
     [[nodiscard]] Core::Result<void> compact(std::int64_t index, std::string state, std::int64_t term, const std::string &votedFor);
 
-    /** Puts a snapshot from elsewhere in the place of everything. */
+    /** Replaces the snapshot and all entries by a snapshot that was received from the leader. */
     [[nodiscard]] Core::Result<void> install(Protocol::StoredSnapshot snapshot, std::int64_t term, const std::string &votedFor);
 
 private:
@@ -68,9 +68,9 @@
 
     Storage::WriteAheadLog &writeAheadLog;
     std::optional<Protocol::StoredSnapshot> latestSnapshot;
-    // Invariant: consecutive; the first one follows the snapshot.
+    // Invariant: the indices are consecutive, and the first one follows the snapshot.
     std::deque<Protocol::LogEntry> entries;
-    // Invariant: never empty, ascending; the first one holds at the snapshot.
+    // Invariant: never empty, in ascending order of index; the first one is the membership at the snapshot.
     std::vector<MembershipAtIndex> memberships;
 };
 
--- a/Libraries/LibConsensus/Membership.cpp
+++ b/Libraries/LibConsensus/Membership.cpp
@@ -51,11 +51,11 @@
     return voterCount(membership) / 2 + 1;
 }
 
-bool hasQuorum(const Protocol::Membership &membership, const std::function<bool(const Protocol::Member &voter)> &question)
+bool hasQuorum(const Protocol::Membership &membership, const std::function<bool(const Protocol::Member &voter)> &predicate)
 {
     std::size_t agreeing = 0;
     for (const auto &member : membership.members) {
-        if (member.voter && question(member)) {
+        if (member.voter && predicate(member)) {
             ++agreeing;
         }
     }
@@ -82,7 +82,7 @@
     return MembershipProposal{.membership = std::nullopt, .refusal = std::move(reason)};
 }
 
-static bool namesThisMember(const Protocol::Member &member, const Protocol::Member &wanted)
+static bool matchesMember(const Protocol::Member &member, const Protocol::Member &wanted)
 {
     return member.name == wanted.name && (wanted.storageId.empty() || member.storageId == wanted.storageId);
 }
@@ -93,7 +93,7 @@
         return refuse("a new member needs a name, a storage id and a peer address");
     }
     if (findMember(membership, member.name) != nullptr) {
-        return refuse("a member named " + member.name + " is there already; remove it first");
+        return refuse("a member named " + member.name + " already exists; remove it first");
     }
     membership.members.push_back(member);
     membership.members.back().voter = false;
@@ -103,9 +103,9 @@
 static MembershipProposal promoteLearner(Protocol::Membership membership, const Protocol::Member &wanted)
 {
     for (auto &member : membership.members) {
-        if (namesThisMember(member, wanted)) {
+        if (matchesMember(member, wanted)) {
             if (member.voter) {
-                return refuse(member.name + " is a voter already");
+                return refuse(member.name + " is already a voter");
             }
             member.voter = true;
             return MembershipProposal{.membership = std::move(membership), .refusal = {}};
@@ -117,13 +117,13 @@
 static MembershipProposal removeMember(Protocol::Membership membership, const Protocol::Member &wanted)
 {
     const auto removed = std::erase_if(membership.members, [&wanted](const Protocol::Member &member) {
-        return namesThisMember(member, wanted);
+        return matchesMember(member, wanted);
     });
     if (removed == 0) {
         return refuse("no member named " + wanted.name + " has this data folder");
     }
     if (voterCount(membership) == 0) {
-        return refuse("the last voter can't be removed");
+        return refuse("the last voter cannot be removed");
     }
     return MembershipProposal{.membership = std::move(membership), .refusal = {}};
 }
@@ -138,7 +138,7 @@
     case Protocol::MemberChangeKind::REMOVE:
         return removeMember(membership, change.member);
     }
-    return refuse("unknown kind of change");
+    return refuse("unknown kind of membership change");
 }
 
 }
--- a/Libraries/LibConsensus/Membership.h
+++ b/Libraries/LibConsensus/Membership.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Questions about who is a member and what makes a quorum.
+// Lookups in a membership, quorum calculations, and the changes that a membership can undergo.
 
 #pragma once
 
@@ -19,30 +19,30 @@
 /** The member with this name, or nullptr. */
 [[nodiscard]] const Protocol::Member *findMember(const Protocol::Membership &membership, const std::string &name);
 
-/** Whether the name with this very data folder is a voter. */
+/** Whether the member with this name and this storage id is a voter. A member of the same name with another data folder is not. */
 [[nodiscard]] bool isVoter(const Protocol::Membership &membership, const std::string &name, const std::string &storageId);
 
 [[nodiscard]] std::size_t voterCount(const Protocol::Membership &membership);
 
-/** How many voters stand before the one with this name in the membership. */
+/** The number of voters listed before the member with this name. */
 [[nodiscard]] std::size_t votersBefore(const Protocol::Membership &membership, const std::string &name);
 
-/** The smallest number of voters that is more than half of them. */
+/** The size of the smallest majority of the voters. */
 [[nodiscard]] std::size_t quorumSize(const Protocol::Membership &membership);
 
-/** Whether the voters for which the question is answered with yes make a quorum. Never without voters. */
-[[nodiscard]] bool hasQuorum(const Protocol::Membership &membership, const std::function<bool(const Protocol::Member &voter)> &question);
+/** Whether the voters that satisfy the predicate are a quorum. False for a membership without voters. */
+[[nodiscard]] bool hasQuorum(const Protocol::Membership &membership, const std::function<bool(const Protocol::Member &voter)> &predicate);
 
-/** The highest value that a quorum of the voters has reached. */
+/** The highest value that a quorum of the voters has reached; 0 for a membership without voters. */
 [[nodiscard]] std::int64_t quorumValue(const Protocol::Membership &membership, const std::function<std::int64_t(const Protocol::Member &voter)> &valueOf);
 
-/** The members after a change, or nothing with the reason why the change is refused. */
+/** The membership after a change, or nothing and the reason why the change is rejected. */
 struct MembershipProposal {
     std::optional<Protocol::Membership> membership;
     std::string refusal;
 };
 
-/** Carries out a change on a copy. */
+/** Applies a change to a copy of the membership. */
 [[nodiscard]] MembershipProposal applyChange(const Protocol::Membership &membership, const Protocol::MemberChange &change);
 
 }
--- a/Libraries/LibConsensus/ReadIndexRequests.cpp
+++ b/Libraries/LibConsensus/ReadIndexRequests.cpp
@@ -17,7 +17,7 @@
 
 void ReadIndexRequests::add(ConfirmHook hook)
 {
-    this->readers.push_back(Reader{.hook = std::move(hook), .number = std::nullopt, .askedAt = {}, .index = std::nullopt});
+    this->readers.push_back(Reader{.hook = std::move(hook), .number = std::nullopt, .sentAt = {}, .index = std::nullopt});
 }
 
 bool ReadIndexRequests::isRequestDue() const
@@ -25,23 +25,23 @@
     return !this->readers.empty() && !this->readers.back().number.has_value();
 }
 
-std::int64_t ReadIndexRequests::nextReadIndexRequest(Core::Instant now)
+std::int64_t ReadIndexRequests::startRequest(Core::Instant now)
 {
     ++this->lastNumber;
     for (auto &reader : this->readers) {
         if (!reader.number.has_value()) {
             reader.number = this->lastNumber;
-            reader.askedAt = now;
+            reader.sentAt = now;
         }
     }
     return this->lastNumber;
 }
 
-void ReadIndexRequests::handleAnswer(std::int64_t number, std::int64_t index)
+void ReadIndexRequests::handleReply(std::int64_t number, std::int64_t index)
 {
-    // C5. What this life has not asked was asked by an earlier one.
-    const bool wasAsked = number > this->firstNumber && number <= this->lastNumber;
-    if (!wasAsked) {
+    // C5. A reply to a request that this incarnation has not sent belongs to an earlier incarnation and is ignored.
+    const bool wasSent = number > this->firstNumber && number <= this->lastNumber;
+    if (!wasSent) {
         return;
     }
     for (auto &reader : this->readers) {
@@ -52,42 +52,42 @@
     }
 }
 
-void ReadIndexRequests::finish(std::int64_t committedHere)
+void ReadIndexRequests::confirmUpTo(std::int64_t committedIndex)
 {
-    this->finishWhere(
-        [committedHere](const Reader &reader) {
-            return reader.index.has_value() && reader.index.value() <= committedHere;
+    this->completeWhere(
+        [committedIndex](const Reader &reader) {
+            return reader.index.has_value() && reader.index.value() <= committedIndex;
         },
         true);
 }
 
-void ReadIndexRequests::failAskedBefore(Core::Instant before)
+void ReadIndexRequests::failSentBefore(Core::Instant before)
 {
-    this->finishWhere(
+    this->completeWhere(
         [before](const Reader &reader) {
-            return reader.number.has_value() && reader.askedAt < before;
+            return reader.number.has_value() && reader.sentAt < before;
         },
         false);
 }
 
 void ReadIndexRequests::failAll()
 {
-    this->finishWhere(
+    this->completeWhere(
         [](const Reader &) {
             return true;
         },
         false);
 }
 
-// NOTE: Readers are taken out before their hooks are called, since a hook may bring a new reader.
-void ReadIndexRequests::finishWhere(const std::function<bool(const Reader &reader)> &isOver, bool confirmed)
+// NOTE: Readers are removed from the list before their hooks are called, since a hook may add a new reader.
+void ReadIndexRequests::completeWhere(const std::function<bool(const Reader &reader)> &shouldComplete, bool confirmed)
 {
-    const auto firstOver = std::stable_partition(this->readers.begin(), this->readers.end(), [&isOver](const Reader &reader) {
-        return !isOver(reader);
+    const auto firstCompleted = std::stable_partition(this->readers.begin(), this->readers.end(), [&shouldComplete](const Reader &reader) {
+        return !shouldComplete(reader);
     });
-    const std::vector<Reader> over(std::make_move_iterator(firstOver), std::make_move_iterator(this->readers.end()));
-    this->readers.erase(firstOver, this->readers.end());
-    for (const auto &reader : over) {
+    const std::vector<Reader> completed(std::make_move_iterator(firstCompleted), std::make_move_iterator(this->readers.end()));
+    this->readers.erase(firstCompleted, this->readers.end());
+    for (const auto &reader : completed) {
         reader.hook(confirmed);
     }
 }
--- a/Libraries/LibConsensus/ReadIndexRequests.h
+++ b/Libraries/LibConsensus/ReadIndexRequests.h
@@ -3,10 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A follower's questions to the leader whether what is applied here is current.
-// With them any instance can confirm a read, so that askers spread over all
-// instances instead of meeting at the leader. Pure; rules C3 to C5 in
-// docs/REPLICATED-LOG.md.
+// The read index requests of a follower to the leader, which confirm that the follower's applied state is current (rules C3 to C5 in
+// docs/REPLICATED-LOG.md). With them any member can confirm a read, so that reads spread over all members instead of loading the leader.
+// The class sends nothing itself; the caller does.
 
 #pragma once
 
@@ -20,51 +19,55 @@
 namespace Consensus
 {
 
-/** One question stands for all readers that waited when it left. */
+/** Readers that wait for a confirmation. One read index request covers all readers that were waiting when it was sent. */
 class ReadIndexRequests
 {
 public:
-    /** `confirmed` is true when what is applied here holds all that was committed when the reader came. */
+    /** `confirmed` is true when all entries that were committed when the reader was added are applied on this instance. */
     using ConfirmHook = std::function<void(bool confirmed)>;
 
-    /** `firstNumber` must differ from life to life of a process: C5. An answer to an earlier life must not count for this one. */
+    /** Requests are numbered after `firstNumber`. It has to differ between incarnations of a process, so that a reply to an earlier one is ignored (C5). */
     explicit ReadIndexRequests(std::int64_t firstNumber);
 
-    /** A reader came; it is covered by the next question. */
+    /** Adds a reader, which the next request covers. */
     void add(ConfirmHook hook);
 
-    /** Whether a reader waits that no question covers yet. */
+    /** Whether a reader waits that no request covers yet. */
     [[nodiscard]] bool isRequestDue() const;
 
-    /** The number of a question that leaves now and covers all readers so far. */
-    [[nodiscard]] std::int64_t nextReadIndexRequest(Core::Instant now);
+    /** Returns the number of a new request, to be sent now, that covers all readers which no earlier request covers. */
+    [[nodiscard]] std::int64_t startRequest(Core::Instant now);
 
-    /** The leader answered a question: its quorum committed up to `index` by then. Later questions came after that, so it says nothing of them. */
-    void handleAnswer(std::int64_t number, std::int64_t index);
+    /**
+     * Handles the leader's reply to a request: all entries that were committed when the leader received the request have an index of at most
+     * `index`. The reply covers the readers of this request and of earlier ones, but no later readers, since more entries may have been
+     * committed before those were added.
+     */
+    void handleReply(std::int64_t number, std::int64_t index);
 
-    /** Calls the hooks of readers whose answer is in and reached by what is committed here. */
-    void finish(std::int64_t committedHere);
+    /** Confirms the readers whose request has a reply with an index of at most `committedIndex`, the commit index of this instance. */
+    void confirmUpTo(std::int64_t committedIndex);
 
-    /** Calls the hooks of readers whose question left before `before` and has no answer. */
-    void failAskedBefore(Core::Instant before);
-    /** The leader that was asked is not the leader any more. */
+    /** Fails the readers whose request was sent before `before` and that are not confirmed yet. */
+    void failSentBefore(Core::Instant before);
+    /** Fails all readers, since the leader that received the requests is no longer the leader. */
     void failAll();
 
 private:
     struct Reader {
         ConfirmHook hook;
-        // Of the question that covers it; none yet while it has not left.
+        // Number of the request that covers this reader; none while that has not been sent.
         std::optional<std::int64_t> number;
-        Core::Instant askedAt;
-        // The answer.
+        Core::Instant sentAt;
+        // Read index from the reply; none while no reply was received.
         std::optional<std::int64_t> index;
     };
 
-    void finishWhere(const std::function<bool(const Reader &reader)> &isOver, bool confirmed);
+    void completeWhere(const std::function<bool(const Reader &reader)> &shouldComplete, bool confirmed);
 
-    // Invariant: in the order of arrival, so that those without a question come last.
+    // Invariant: in the order of arrival, so that readers without a request come last.
     std::vector<Reader> readers;
-    // Numbers after the first one up to the last one are of questions of this life.
+    // The requests of this incarnation have the numbers after firstNumber up to lastNumber.
     std::int64_t firstNumber;
     std::int64_t lastNumber;
 };
--- a/Libraries/LibConsensus/ReplicatedLog.cpp
+++ b/Libraries/LibConsensus/ReplicatedLog.cpp
@@ -15,8 +15,8 @@
 using Protocol::LogMessage;
 using Protocol::MessageKind;
 
-// Hexadecimal digits of the storage id in a member's name; enough that two folders of one instance never meet.
-static constexpr std::size_t FolderSuffixLength = 8;
+// Number of hexadecimal digits of the storage id in a member's name, enough that two data folders of one instance never get the same name.
+static constexpr std::size_t StorageIdSuffixLength = 8;
 
 const char *roleName(Role role)
 {
@@ -35,8 +35,8 @@
     return "unknown";
 }
 
-// C5. The questions of each life of an instance have numbers of their own.
-static std::int64_t firstReadNumber(std::mt19937_64 &random)
+// C5. Each incarnation of an instance numbers its read index requests from a random start, so that their numbers differ.
+static std::int64_t initialReadRequestNumber(std::mt19937_64 &random)
 {
     return std::uniform_int_distribution<std::int64_t>(0, INT64_MAX / 2)(random);
 }
@@ -53,12 +53,12 @@
     , votedFor(recovered.votedFor)
     , committed(this->store.snapshotIndex())
     , durableIndex(this->store.lastIndex())
-    , reads(firstReadNumber(this->random))
+    , readIndexRequests(initialReadRequestNumber(this->random))
 {
     this->ownMember.storageId = recovered.storageId;
     if (this->options.nameWithFolder) {
         this->ownMember.name += '.';
-        this->ownMember.name += recovered.storageId.substr(0, FolderSuffixLength);
+        this->ownMember.name += recovered.storageId.substr(0, StorageIdSuffixLength);
     }
     this->startElectionTimer(now);
 }
@@ -190,39 +190,40 @@
     this->currentRole = Role::Failed;
     this->leaderName.clear();
     this->failConfirmations();
-    this->reads.failAll();
+    this->readIndexRequests.failAll();
 }
 
-// ---- Time
+// ---- Timers
 
-// A log whose instances all start at once has no leader to wait for. Where there is one, E2 keeps it from being unseated.
-bool ReplicatedLog::takesTurns() const
+// When all members start at once, there is no leader to wait for, so the voters start elections one after the other at a fixed interval.
+// When there is a leader, E2 prevents that a member which has just started displaces it.
+bool ReplicatedLog::usesElectionStagger() const
 {
-    return this->options.initialElectionStagger.has_value() && !this->everHeardLeader && this->canStand();
+    return this->options.initialElectionStagger.has_value() && !this->hadLeaderContact && this->isVotingMember();
 }
 
 void ReplicatedLog::resetElectionTimer(Core::Instant now)
 {
-    if (this->takesTurns()) {
+    if (this->usesElectionStagger()) {
         this->electionDue = now + voterCount(this->store.membership()) * this->options.initialElectionStagger.value();
         return;
     }
     const auto base = this->options.electionTimeout.count();
-    std::uniform_int_distribution<Core::Duration::rep> spread(0, base);
-    this->electionDue = now + Core::Duration(base + spread(this->random));
+    std::uniform_int_distribution<Core::Duration::rep> jitter(0, base);
+    this->electionDue = now + Core::Duration(base + jitter(this->random));
 }
 
 void ReplicatedLog::startElectionTimer(Core::Instant now)
 {
-    if (!this->takesTurns()) {
+    if (!this->usesElectionStagger()) {
         this->resetElectionTimer(now);
         return;
     }
-    const auto earlierTurns = votersBefore(this->store.membership(), this->ownMember.name);
-    this->electionDue = now + (earlierTurns + 1) * this->options.initialElectionStagger.value();
+    const auto precedingVoters = votersBefore(this->store.membership(), this->ownMember.name);
+    this->electionDue = now + (precedingVoters + 1) * this->options.initialElectionStagger.value();
 }
 
-bool ReplicatedLog::canStand() const
+bool ReplicatedLog::isVotingMember() const
 {
     return isVoter(this->store.membership(), this->ownMember.name, this->ownMember.storageId);
 }
@@ -236,24 +237,24 @@
         this->leaderTick(now);
         return;
     }
-    // The question, or its answer, was lost.
-    this->reads.failAskedBefore(now - this->options.electionTimeout);
+    // A read index request without a reply for the election timeout was lost, or its reply was.
+    this->readIndexRequests.failSentBefore(now - this->options.electionTimeout);
     if (now < this->electionDue) {
         return;
     }
     this->resetElectionTimer(now);
-    if (this->canStand()) {
+    if (this->isVotingMember()) {
         this->startPreVote(now);
     }
 }
 
 void ReplicatedLog::leaderTick(Core::Instant now)
 {
-    // E6. A leader that has not heard from a quorum for the election timeout steps down.
-    const bool inTouch = hasQuorum(this->store.membership(), [this, now](const Protocol::Member &voter) {
+    // E6. A leader that has received no replies from a quorum within the election timeout steps down.
+    const bool hasQuorumContact = hasQuorum(this->store.membership(), [this, now](const Protocol::Member &voter) {
         return voter.name == this->ownMember.name || now - this->lastContactWith(voter.name) < this->options.electionTimeout;
     });
-    if (!inTouch) {
+    if (!hasQuorumContact) {
         Core::logEvent(Core::LogLevel::Warning, "log.leader_without_quorum", {{"term", this->currentTerm}});
         this->becomeFollower(this->currentTerm, {}, now);
         return;
@@ -269,48 +270,48 @@
     if (this->currentRole == Role::Failed) {
         return;
     }
-    // M4. A message meant for another data folder is not for this instance.
+    // M4. A message that is addressed to another data folder is ignored.
     if (message.receiverStorageId != this->ownMember.storageId) {
         Core::logEvent(Core::LogLevel::Debug, "log.message_for_other_folder", {{"sender", message.sender}});
         return;
     }
-    // E5. A higher term makes any instance a follower in it. Requests for votes are weighed first (E2).
-    const bool asksForVote = message.kind == MessageKind::PRE_VOTE_REQUEST || message.kind == MessageKind::VOTE_REQUEST;
-    const bool offersVote = message.kind == MessageKind::PRE_VOTE_REPLY && message.granted;
-    if (message.term > this->currentTerm && !asksForVote && !offersVote) {
+    // E5. A message with a higher term makes any instance a follower in that term. Vote requests are checked by E2 first.
+    const bool isVoteRequest = message.kind == MessageKind::PRE_VOTE_REQUEST || message.kind == MessageKind::VOTE_REQUEST;
+    const bool isPreVoteGrant = message.kind == MessageKind::PRE_VOTE_REPLY && message.granted;
+    if (message.term > this->currentTerm && !isVoteRequest && !isPreVoteGrant) {
         this->becomeFollower(message.term, {}, now);
     }
     switch (message.kind) {
     case MessageKind::PRE_VOTE_REQUEST:
-        this->takePreVoteRequest(message, now);
+        this->handlePreVoteRequest(message, now);
         break;
     case MessageKind::VOTE_REQUEST:
-        this->takeVoteRequest(message, now);
+        this->handleVoteRequest(message, now);
         break;
     case MessageKind::PRE_VOTE_REPLY:
     case MessageKind::VOTE_REPLY:
-        this->takeVoteReply(message, now);
+        this->handleVoteReply(message, now);
         break;
     case MessageKind::APPEND_REQUEST:
-        this->takeAppendRequest(message, now);
+        this->handleAppendRequest(message, now);
         break;
     case MessageKind::APPEND_REPLY:
-        this->takeAppendReply(message, now);
+        this->handleAppendReply(message, now);
         break;
     case MessageKind::SNAPSHOT_REQUEST:
-        this->takeSnapshotRequest(message, now);
+        this->handleSnapshotRequest(message, now);
         break;
     case MessageKind::SNAPSHOT_REPLY:
-        this->takeSnapshotReply(message, now);
+        this->handleSnapshotReply(message, now);
         break;
     case MessageKind::LEADERSHIP_TRANSFER:
-        this->takeLeadershipTransfer(message, now);
+        this->handleLeadershipTransfer(message, now);
         break;
     case MessageKind::READ_INDEX_REQUEST:
-        this->takeReadIndexRequest(message);
+        this->handleReadIndexRequest(message);
         break;
     case MessageKind::READ_INDEX_REPLY:
-        this->takeReadIndexReply(message);
+        this->handleReadIndexReply(message);
         break;
     }
 }
@@ -324,7 +325,7 @@
     }
     this->currentTerm = newTerm;
     this->votedFor = vote;
-    this->writeAheadLog.putVote(newTerm, vote);
+    this->writeAheadLog.queueVote(newTerm, vote);
 }
 
 void ReplicatedLog::becomeFollower(std::int64_t newTerm, const std::string &leader, Core::Instant now)
@@ -334,11 +335,11 @@
         this->setTerm(newTerm, {});
     }
     this->currentRole = Role::Follower;
-    const bool otherLeader = this->leaderName != leader;
+    const bool leaderChanged = this->leaderName != leader;
     this->leaderName = leader;
     this->votes.clear();
-    if (otherLeader) {
-        this->reads.failAll();
+    if (leaderChanged) {
+        this->readIndexRequests.failAll();
     }
     if (wasLeader) {
         Core::logEvent(Core::LogLevel::Information, "log.stepped_down", {{"term", this->currentTerm}});
@@ -350,13 +351,14 @@
 
 void ReplicatedLog::startPreVote(Core::Instant now)
 {
-    // E1. A voter that heard from no leader for its election timeout asks the voters whether they would vote for it, and keeps its term meanwhile.
+    // E1. A voter that has received nothing from a leader for its election timeout starts a pre-vote: it asks the voters whether they would
+    // vote for it. It keeps its term meanwhile.
     this->currentRole = Role::PreCandidate;
     this->leaderName.clear();
-    this->reads.failAll();
+    this->readIndexRequests.failAll();
     this->votes.clear();
     this->votes[this->ownMember.name] = this->ownMember.storageId;
-    // The term of one pre-vote is that of the next, so answers are known by the round.
+    // Consecutive pre-votes have the same term, so the round tells which pre-vote a reply belongs to.
     ++this->round;
     this->requestVotes(MessageKind::PRE_VOTE_REQUEST, this->currentTerm + 1, false);
     this->countVotes(now);
@@ -365,8 +367,8 @@
 void ReplicatedLog::startElection(Core::Instant now, bool transfer)
 {
     this->currentRole = Role::Candidate;
-    this->reads.failAll();
-    // E3. A vote, the one for oneself included, is on disk before anybody hears of it.
+    this->readIndexRequests.failAll();
+    // E3. A vote, including the candidate's own, is on disk before any message shows it.
     this->setTerm(this->currentTerm + 1, this->ownMember.storageId);
     if (!this->makeDurable()) {
         return;
@@ -400,39 +402,40 @@
     return request.previousIndex >= this->store.lastIndex();
 }
 
-bool ReplicatedLog::heardLeaderRecently(Core::Instant now) const
+bool ReplicatedLog::hadRecentLeaderContact(Core::Instant now) const
 {
     if (this->currentRole == Role::Leader) {
         return true;
     }
-    return this->everHeardLeader && now - this->lastLeaderContact < this->options.electionTimeout;
+    return this->hadLeaderContact && now - this->lastLeaderContact < this->options.electionTimeout;
 }
 
-void ReplicatedLog::takePreVoteRequest(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handlePreVoteRequest(const LogMessage &message, Core::Instant now)
 {
-    // E2. Yes only when no leader was heard for the election timeout and the asker's log is at least as far.
+    // E2. A pre-vote is granted only when no message from a leader was received within the election timeout and the log of the requesting
+    // member is at least as up to date as this one.
     LogMessage reply = this->replyTo(message, MessageKind::PRE_VOTE_REPLY);
-    reply.granted = message.term > this->currentTerm && !this->heardLeaderRecently(now) && this->isUpToDate(message);
+    reply.granted = message.term > this->currentTerm && !this->hadRecentLeaderContact(now) && this->isUpToDate(message);
     reply.term = reply.granted ? message.term : this->currentTerm;
     if (this->makeDurable()) {
         this->sendReply(message, std::move(reply));
     }
 }
 
-void ReplicatedLog::takeVoteRequest(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handleVoteRequest(const LogMessage &message, Core::Instant now)
 {
-    // E2. A request is not even looked at while there is a leader, so that a removed or cut-off instance can't unseat it.
+    // E2. A vote request is ignored while there is a leader, so that an instance which was removed or partitioned can't displace it.
     const bool isNewTerm = message.term > this->currentTerm;
-    if (isNewTerm && !message.transfer && this->heardLeaderRecently(now)) {
+    if (isNewTerm && !message.transfer && this->hadRecentLeaderContact(now)) {
         return;
     }
     if (isNewTerm) {
         this->becomeFollower(message.term, {}, now);
     }
-    // E3. One vote in a term.
-    const bool free = this->votedFor.empty() || this->votedFor == message.storageId;
+    // E3. An instance votes for one candidate in a term.
+    const bool canGrantVote = this->votedFor.empty() || this->votedFor == message.storageId;
     LogMessage reply = this->replyTo(message, MessageKind::VOTE_REPLY);
-    reply.granted = message.term == this->currentTerm && free && this->isUpToDate(message);
+    reply.granted = message.term == this->currentTerm && canGrantVote && this->isUpToDate(message);
     reply.term = this->currentTerm;
     if (reply.granted) {
         this->setTerm(this->currentTerm, message.storageId);
@@ -443,12 +446,12 @@
     }
 }
 
-void ReplicatedLog::takeVoteReply(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handleVoteReply(const LogMessage &message, Core::Instant now)
 {
-    const bool toThisPreVote = message.kind == MessageKind::PRE_VOTE_REPLY && message.term == this->currentTerm + 1 && message.round == this->round;
-    const bool forPreVote = this->currentRole == Role::PreCandidate && toThisPreVote;
-    const bool forVote = this->currentRole == Role::Candidate && message.kind == MessageKind::VOTE_REPLY && message.term == this->currentTerm;
-    if (!message.granted || (!forPreVote && !forVote)) {
+    const bool matchesPreVote = message.kind == MessageKind::PRE_VOTE_REPLY && message.term == this->currentTerm + 1 && message.round == this->round;
+    const bool countsForPreVote = this->currentRole == Role::PreCandidate && matchesPreVote;
+    const bool countsForVote = this->currentRole == Role::Candidate && message.kind == MessageKind::VOTE_REPLY && message.term == this->currentTerm;
+    if (!message.granted || (!countsForPreVote && !countsForVote)) {
         return;
     }
     this->votes[message.sender] = message.storageId;
@@ -457,7 +460,7 @@
 
 void ReplicatedLog::countVotes(Core::Instant now)
 {
-    // E4. Only voters count, and only with the data folder that they were made voters with.
+    // E4. Only the votes of voters count, and only with the storage id that the membership lists for them.
     const bool won = hasQuorum(this->store.membership(), [this](const Protocol::Member &voter) {
         const auto vote = this->votes.find(voter.name);
         return vote != this->votes.end() && vote->second == voter.storageId;
@@ -472,29 +475,29 @@
     }
 }
 
-void ReplicatedLog::takeLeadershipTransfer(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handleLeadershipTransfer(const LogMessage &message, Core::Instant now)
 {
-    // E7. On the leader's own word a voter stands at once, without the pre-vote.
+    // E7. When the leader requests a leadership transfer, the voter starts an election at once, without a pre-vote.
     const bool fromLeader = message.term == this->currentTerm && message.sender == this->leaderName;
-    if (fromLeader && this->canStand() && this->currentRole == Role::Follower) {
+    if (fromLeader && this->isVotingMember() && this->currentRole == Role::Follower) {
         this->startElection(now, true);
     }
 }
 
 bool ReplicatedLog::transferLeadership(Core::Instant now)
 {
-    const Protocol::Member *furthest = nullptr;
+    const Protocol::Member *mostUpToDate = nullptr;
     for (const auto &member : this->store.membership().members) {
         const bool reachable = now - this->lastContactWith(member.name) < this->options.electionTimeout;
         const bool eligible = member.voter && member.name != this->ownMember.name && reachable;
-        if (eligible && (furthest == nullptr || this->matchIndexOf(member.name) > this->matchIndexOf(furthest->name))) {
-            furthest = &member;
+        if (eligible && (mostUpToDate == nullptr || this->matchIndexOf(member.name) > this->matchIndexOf(mostUpToDate->name))) {
+            mostUpToDate = &member;
         }
     }
-    if (this->currentRole != Role::Leader || furthest == nullptr) {
+    if (this->currentRole != Role::Leader || mostUpToDate == nullptr) {
         return false;
     }
-    this->hooks.send(*furthest, this->messageFor(*furthest, MessageKind::LEADERSHIP_TRANSFER));
+    this->hooks.send(*mostUpToDate, this->messageFor(*mostUpToDate, MessageKind::LEADERSHIP_TRANSFER));
     return true;
 }
 
@@ -508,16 +511,16 @@
     }
     this->nextHeartbeat = now + this->options.heartbeatPeriod;
     Core::logEvent(Core::LogLevel::Information, "log.became_leader", {{"term", this->currentTerm}, {"last_index", this->store.lastIndex()}});
-    // E4. The new leader opens its term with an empty entry.
+    // E4. A new leader begins its term with an empty entry.
     this->termStartIndex = this->store.lastIndex() + 1;
-    const auto opened = this->appendOwn(Protocol::LogEntry{});
-    Core::verify(opened.has_value(), "a new leader can append");
+    const auto appended = this->appendEntry(Protocol::LogEntry{});
+    Core::verify(appended.has_value(), "a new leader can append");
     this->flush(now);
 }
 
-// ---- Replication, leader's side
+// ---- Replication, leader
 
-Core::Result<std::int64_t> ReplicatedLog::appendOwn(Protocol::LogEntry entry)
+Core::Result<std::int64_t> ReplicatedLog::appendEntry(Protocol::LogEntry entry)
 {
     if (this->currentRole != Role::Leader) {
         return Core::failure(Core::ErrorKind::Unreachable, "this instance is not the leader");
@@ -533,7 +536,7 @@
 {
     Protocol::LogEntry entry;
     entry.command = std::move(command);
-    return this->appendOwn(std::move(entry));
+    return this->appendEntry(std::move(entry));
 }
 
 Core::Result<std::int64_t> ReplicatedLog::proposeMembership(const Protocol::MemberChange &change)
@@ -541,11 +544,11 @@
     if (this->currentRole != Role::Leader) {
         return Core::failure(Core::ErrorKind::Unreachable, "this instance is not the leader");
     }
-    // M1. One change at a time, and none before the leader has committed an entry of its own term.
+    // M1. Membership changes are made one at a time, and the first one only after the leader has committed an entry of its own term.
     if (this->committed < this->termStartIndex || this->store.membershipIndex() > this->committed) {
-        return Core::failure(Core::ErrorKind::LimitReached, "another change of the members is still under way");
+        return Core::failure(Core::ErrorKind::LimitReached, "another membership change is not committed yet");
     }
-    // M3. A learner votes only once it has caught up.
+    // M3. A learner becomes a voter only after its log has reached the commit index.
     if (change.kind == Protocol::MemberChangeKind::PROMOTE && this->matchIndexOf(change.member.name) < this->committed) {
         return Core::failure(Core::ErrorKind::LimitReached, change.member.name + " has not caught up yet");
     }
@@ -553,7 +556,7 @@
     if (!proposal.membership.has_value()) {
         return Core::failure(Core::ErrorKind::InvalidInput, proposal.refusal);
     }
-    // M2. The new members count from the moment that the entry is in the log.
+    // M2. A membership is in effect as soon as its entry is in the log, before it is committed.
     Protocol::LogEntry entry;
     entry.__set_membership(proposal.membership.value());
     for (const auto &member : entry.membership.members) {
@@ -562,7 +565,7 @@
     if (change.kind == Protocol::MemberChangeKind::REMOVE) {
         this->progress.erase(change.member.name);
     }
-    return this->appendOwn(std::move(entry));
+    return this->appendEntry(std::move(entry));
 }
 
 Core::Result<void> ReplicatedLog::bootstrap(const Protocol::Membership &membership)
@@ -571,14 +574,14 @@
         return Core::failure(Core::ErrorKind::Storage, this->failureMessage);
     }
     if (this->isInitialised()) {
-        // A resent bootstrap with the same list is a success, whatever has happened since.
+        // A bootstrap request that is sent again with the same membership succeeds, even when the membership has changed since.
         const bool same = this->store.membershipAt(1) == membership;
-        return same ? Core::Result<void>{} : Core::failure(Core::ErrorKind::InvalidInput, "this instance belongs to a log already");
+        return same ? Core::Result<void>{} : Core::failure(Core::ErrorKind::InvalidInput, "this instance already belongs to a log");
     }
     if (!isVoter(membership, this->ownMember.name, this->ownMember.storageId)) {
-        return Core::failure(Core::ErrorKind::InvalidInput, "the list does not name this instance with its data folder as a voter");
+        return Core::failure(Core::ErrorKind::InvalidInput, "the membership does not list this instance with its storage id as a voter");
     }
-    // M5. Every founder starts with the same first entry.
+    // M5. All initial members start with the same first entry.
     Protocol::LogEntry entry;
     entry.index = 1;
     entry.term = 1;
@@ -597,10 +600,10 @@
         return;
     }
     if (this->currentRole != Role::Leader) {
-        this->askReadIndex(now);
+        this->sendReadIndexRequest(now);
         return;
     }
-    if (std::exchange(this->roundWanted, false)) {
+    if (std::exchange(this->roundRequested, false)) {
         ++this->round;
     }
     this->nextHeartbeat = now + this->options.heartbeatPeriod;
@@ -627,12 +630,13 @@
         this->sendSnapshotPiece(member, progress);
         return;
     }
-    // R1. Entries travel with the index and term of the one before them.
+    // R1. Entries are sent with the index and term of the entry before them.
     LogMessage message = this->messageFor(member, MessageKind::APPEND_REQUEST);
     message.previousIndex = progress.nextIndex - 1;
     message.previousTerm = previousTerm.value();
     message.entries = this->store.entriesFrom(progress.nextIndex, this->options.maximumBytesPerMessage);
-    // NOTE: The next message starts where this one ends; if this one is lost, the receiver's refusal brings nextIndex back.
+    // NOTE: nextIndex advances before a reply is received, so that the next message continues after this one. When this one is lost, the
+    // receiver rejects the next one, which resets nextIndex.
     progress.nextIndex += static_cast<std::int64_t>(message.entries.size());
     this->hooks.send(member, std::move(message));
 }
@@ -640,7 +644,7 @@
 void ReplicatedLog::sendSnapshotPiece(const Protocol::Member &member, Progress &progress)
 {
     const auto &snapshot = this->store.snapshot();
-    Core::verify(snapshot.has_value(), "entries that are gone are in a snapshot");
+    Core::verify(snapshot.has_value(), "entries that were removed are in a snapshot");
     if (progress.snapshotIndex != snapshot->index) {
         progress.snapshotIndex = snapshot->index;
         progress.snapshotOffset = 0;
@@ -667,7 +671,7 @@
     return sameFolder && found != this->progress.end() ? &found->second : nullptr;
 }
 
-void ReplicatedLog::takeAppendReply(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handleAppendReply(const LogMessage &message, Core::Instant now)
 {
     auto *progress = this->progressOfSender(message);
     if (progress == nullptr) {
@@ -691,7 +695,7 @@
     }
 }
 
-void ReplicatedLog::takeSnapshotReply(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handleSnapshotReply(const LogMessage &message, Core::Instant now)
 {
     auto *progress = this->progressOfSender(message);
     if (progress == nullptr) {
@@ -710,7 +714,7 @@
     if (message.previousIndex != progress->snapshotIndex) {
         return;
     }
-    // NOTE: A late reply may bring the offset back. The receiver then says again how much it holds, so this heals with the next heartbeat.
+    // NOTE: A delayed reply may move the offset back. The receiver's reply to the next heartbeat has the right offset again.
     const bool advanced = message.pieceOffset > progress->snapshotOffset;
     progress->snapshotOffset = message.pieceOffset;
     if (advanced) {
@@ -724,18 +728,19 @@
     if (this->currentRole != Role::Leader) {
         return;
     }
-    const std::int64_t reached = quorumValue(this->store.membership(), [this](const Protocol::Member &voter) {
+    const std::int64_t quorumIndex = quorumValue(this->store.membership(), [this](const Protocol::Member &voter) {
         return voter.name == this->ownMember.name ? this->durableIndex : this->matchIndexOf(voter.name);
     });
-    // R5. An entry is committed when a quorum has it on disk and it, or one after it, is of the leader's own term.
-    if (reached > this->committed && this->store.termAt(reached) == this->currentTerm) {
-        this->commitTo(reached);
+    // R5. An entry is committed when a quorum has it on disk and it, or an entry after it that a quorum has on disk, is of the leader's own
+    // term.
+    if (quorumIndex > this->committed && this->store.termAt(quorumIndex) == this->currentTerm) {
+        this->commitTo(quorumIndex);
     }
 }
 
-// ---- Replication, follower's side
+// ---- Replication, follower
 
-void ReplicatedLog::takeAppendRequest(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handleAppendRequest(const LogMessage &message, Core::Instant now)
 {
     LogMessage reply = this->replyTo(message, MessageKind::APPEND_REPLY);
     if (message.term < this->currentTerm) {
@@ -747,10 +752,10 @@
     Core::verify(this->currentRole != Role::Leader, "a term has one leader");
     this->becomeFollower(message.term, message.sender, now);
     this->lastLeaderContact = now;
-    this->everHeardLeader = true;
+    this->hadLeaderContact = true;
     this->resetElectionTimer(now);
 
-    // R2. Entries are taken only when the one before them is held with the same term.
+    // R2. Entries are accepted only when this log holds the entry before them with the same term.
     const auto heldTerm = this->store.termAt(message.previousIndex);
     const bool beforeSnapshot = message.previousIndex < this->store.snapshotIndex();
     reply.granted = beforeSnapshot || heldTerm == message.previousTerm;
@@ -759,13 +764,13 @@
     } else {
         reply.matchIndex = std::min(message.previousIndex - 1, this->store.lastIndex());
     }
-    // R4. What is acknowledged is on disk.
+    // R4. Entries are on disk before they are acknowledged.
     if (!this->makeDurable()) {
         return;
     }
     reply.term = this->currentTerm;
     if (reply.granted) {
-        // R6. The leader's commit index counts as far as the logs are known to agree.
+        // R6. A follower applies the leader's commit index up to the last entry that is known to equal the leader's.
         this->commitTo(std::min(message.commitIndex, reply.matchIndex));
     }
     this->sendReply(message, std::move(reply));
@@ -777,9 +782,9 @@
         if (entry.index <= this->store.snapshotIndex() || this->store.termAt(entry.index) == entry.term) {
             continue;
         }
-        // R3. An entry of another term, and all after it, give way.
+        // R3. An entry whose term differs from the leader's is removed with all entries after it.
         if (entry.index <= this->store.lastIndex()) {
-            Core::verify(entry.index > this->committed, "committed entries never change");
+            Core::verify(entry.index > this->committed, "committed entries are never removed");
             this->store.truncateFrom(entry.index);
         }
         Core::verify(entry.index == this->store.lastIndex() + 1, "entries are consecutive");
@@ -788,24 +793,24 @@
     return std::max(message.previousIndex + static_cast<std::int64_t>(message.entries.size()), this->store.snapshotIndex());
 }
 
-void ReplicatedLog::takeSnapshotRequest(const LogMessage &message, Core::Instant now)
+void ReplicatedLog::handleSnapshotRequest(const LogMessage &message, Core::Instant now)
 {
     if (message.term < this->currentTerm) {
         return;
     }
     this->becomeFollower(message.term, message.sender, now);
     this->lastLeaderContact = now;
-    this->everHeardLeader = true;
+    this->hadLeaderContact = true;
     this->resetElectionTimer(now);
     auto &incoming = this->incomingSnapshot;
     if (message.pieceOffset == 0) {
         incoming = IncomingSnapshot{.index = message.previousIndex, .state = {}};
     }
-    const bool fits = incoming.index == message.previousIndex && static_cast<std::int64_t>(incoming.state.size()) == message.pieceOffset;
-    if (fits) {
+    const bool isNextPiece = incoming.index == message.previousIndex && static_cast<std::int64_t>(incoming.state.size()) == message.pieceOffset;
+    if (isNextPiece) {
         incoming.state += message.piece;
     }
-    if (fits && message.lastPiece && message.previousIndex > this->committed) {
+    if (isNextPiece && message.lastPiece && message.previousIndex > this->committed) {
         this->installSnapshot(message);
     }
     if (!this->makeDurable()) {
@@ -840,7 +845,7 @@
         return;
     }
     this->committed = snapshot.index;
-    this->reads.finish(this->committed);
+    this->readIndexRequests.confirmUpTo(this->committed);
     Core::logEvent(Core::LogLevel::Information, "log.snapshot_installed", {{"index", snapshot.index}, {"bytes", snapshot.state.size()}});
 }
 
@@ -853,10 +858,10 @@
         this->committed = entry.index;
         this->hooks.apply(entry);
     }
-    this->reads.finish(this->committed);
-    const bool removed = this->currentRole == Role::Leader && this->store.membershipIndex() <= this->committed && !this->canStand();
+    this->readIndexRequests.confirmUpTo(this->committed);
+    const bool removed = this->currentRole == Role::Leader && this->store.membershipIndex() <= this->committed && !this->isVotingMember();
     if (removed) {
-        // M6. A leader that is no voter any more leaves once that is committed.
+        // M6. A leader that was removed or is no longer a voter steps down once this change is committed.
         this->currentRole = Role::Follower;
         this->leaderName.clear();
         this->progress.clear();
@@ -870,7 +875,7 @@
     if (this->committed - this->store.snapshotIndex() < this->options.entriesBetweenSnapshots) {
         return;
     }
-    // NOTE: compact() writes the whole remaining log anew, so what is queued has to be on disk first.
+    // NOTE: compact() rewrites the remaining log and discards queued records, so they have to be flushed first.
     if (!this->makeDurable()) {
         return;
     }
@@ -881,7 +886,7 @@
     }
 }
 
-// ---- Proof of leadership
+// ---- Confirmation of leadership
 
 void ReplicatedLog::confirmLeadership(ConfirmHook hook)
 {
@@ -889,22 +894,22 @@
         hook(false);
         return;
     }
-    // C1. A question is answered by a round of messages that starts after it.
-    this->roundWanted = true;
-    this->confirmations.push_back(WaitingConfirmation{.round = this->round + 1, .hook = std::move(hook)});
+    // C1. A request is confirmed by replies to a round of messages that starts after the request.
+    this->roundRequested = true;
+    this->confirmations.push_back(PendingConfirmation{.round = this->round + 1, .hook = std::move(hook)});
     this->hooks.flushNeeded();
 }
 
 void ReplicatedLog::finishConfirmations()
 {
-    // C2. Confirmed when a quorum answered that round and an entry of the leader's own term is committed.
+    // C2. Leadership is confirmed when a quorum has replied to that round and an entry of the leader's own term is committed.
     if (this->currentRole != Role::Leader || this->committed < this->termStartIndex) {
         return;
     }
     const std::int64_t confirmedRound = quorumValue(this->store.membership(), [this](const Protocol::Member &voter) {
         return voter.name == this->ownMember.name ? this->round : this->progress[voter.name].confirmedRound;
     });
-    std::vector<WaitingConfirmation> finished;
+    std::vector<PendingConfirmation> finished;
     auto &waiting = this->confirmations;
     while (!waiting.empty() && waiting.front().round <= confirmedRound) {
         finished.push_back(std::move(waiting.front()));
@@ -922,7 +927,7 @@
     }
 }
 
-// ---- Read indexes
+// ---- Read index requests
 
 void ReplicatedLog::confirmCurrent(ConfirmHook hook)
 {
@@ -934,41 +939,42 @@
         hook(false);
         return;
     }
-    this->reads.add(std::move(hook));
+    this->readIndexRequests.add(std::move(hook));
     this->hooks.flushNeeded();
 }
 
-// C3. A follower asks the leader, once for all that came in this turn of the loop.
-void ReplicatedLog::askReadIndex(Core::Instant now)
+// C3. A follower sends one read index request to the leader for all readers that were added since the last flush.
+void ReplicatedLog::sendReadIndexRequest(Core::Instant now)
 {
     const auto *leader = this->leader();
-    if (leader == nullptr || !this->reads.isRequestDue()) {
+    if (leader == nullptr || !this->readIndexRequests.isRequestDue()) {
         return;
     }
-    LogMessage question = this->messageFor(*leader, MessageKind::READ_INDEX_REQUEST);
-    question.round = this->reads.nextReadIndexRequest(now);
-    this->hooks.send(*leader, std::move(question));
+    LogMessage readRequest = this->messageFor(*leader, MessageKind::READ_INDEX_REQUEST);
+    readRequest.round = this->readIndexRequests.startRequest(now);
+    this->hooks.send(*leader, std::move(readRequest));
 }
 
-void ReplicatedLog::takeReadIndexRequest(const LogMessage &message)
+void ReplicatedLog::handleReadIndexRequest(const LogMessage &message)
 {
     this->confirmLeadership([this, message](bool confirmed) {
-        // NOTE: One that no longer leads is silent: its term may not be on its disk yet. The asker notices by the next leader or its own clock.
+        // NOTE: An instance that is no longer the leader sends no reply, since its new term may not be on disk yet. The requesting follower
+        // fails its readers when it has another leader or after the election timeout.
         if (confirmed) {
             this->sendReply(message, this->replyTo(message, MessageKind::READ_INDEX_REPLY));
         }
     });
 }
 
-void ReplicatedLog::takeReadIndexReply(const LogMessage &message)
+void ReplicatedLog::handleReadIndexReply(const LogMessage &message)
 {
     const bool fromLeader = this->currentRole == Role::Follower && message.term == this->currentTerm && message.sender == this->leaderName;
     if (!fromLeader) {
         return;
     }
-    // C4. What is applied here is current once it reaches the leader's commit index.
-    this->reads.handleAnswer(message.round, message.commitIndex);
-    this->reads.finish(this->committed);
+    // C4. The state of this instance is current once it has applied the entries up to the leader's commit index.
+    this->readIndexRequests.handleReply(message.round, message.commitIndex);
+    this->readIndexRequests.confirmUpTo(this->committed);
 }
 
 }
--- a/Libraries/LibConsensus/ReplicatedLog.h
+++ b/Libraries/LibConsensus/ReplicatedLog.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The replicated log: elections, replication and proof of leadership. Pure: it
-// is told the time and the messages, and asks for messages to be sent. The
-// numbered rules in docs/REPLICATED-LOG.md are quoted where they are carried out.
+// The replicated log, an implementation of Raft: elections, replication, membership changes and read index requests. The log uses no
+// clock and no network itself: the caller passes in the current time and the received messages, and a hook sends messages. A comment that
+// starts with a label such as "E1." states the rule of docs/REPLICATED-LOG.md that the code below it implements.
 
 #pragma once
 
@@ -24,93 +24,105 @@
 namespace Consensus
 {
 
-/** What an instance is at the moment. */
+/** The Raft role that an instance has at present. */
 enum class Role {
     Follower,
-    /** Asks whether an election could be won, without a new term. */
+    /** Runs a pre-vote: asks the voters whether they would vote for it, before it starts a new term. */
     PreCandidate,
     Candidate,
     Leader,
-    /** Storage failed; takes part in nothing until the process is started anew. */
+    /** Storage failed. The instance sends nothing and ignores all messages until the process is restarted. */
     Failed,
 };
 
-/** The field's name of a role, for output. */
+/** The name of a role as Raft literature has it, for output. */
 [[nodiscard]] const char *roleName(Role role);
 
-/** Settings of one instance. */
+/** Settings of one member of the log. */
 struct ReplicatedLogOptions {
     /** Name and addresses; the storage id is filled in from the data folder. */
     Protocol::Member identity;
-    /** Adds a part of the storage id to the name, so that an instance whose folder was lost is another member when it returns. */
+    /** Appends the first digits of the storage id to the name, so that an instance which lost its data folder joins as a new member. */
     bool nameWithFolder{false};
     Core::Duration heartbeatPeriod{Core::milliseconds(100)};
-    /** Nobody stands for election within this time of hearing from a leader. */
+    /** A member starts no election and supports none within this time after a message from a leader. */
     Core::Duration electionTimeout{Core::milliseconds(500)};
     /**
-     * While a process has heard from no leader since its start, the voters stand in turns that are this long, in the order of the
-     * membership, so that those that start together don't split their votes. Longer than an election; nothing when the usual timeout holds
-     * from the start.
+     * Interval between the first elections of the voters after a start. Until a process has received a message from a leader, its election
+     * timer is first this interval times its place among the voters, so that voters which start together don't split their votes. The
+     * interval has to be longer than an election takes. Without a value the random election timeout applies from the start.
      */
     std::optional<Core::Duration> initialElectionStagger;
     std::size_t maximumBytesPerMessage{1024 * 1024};
     std::int64_t entriesBetweenSnapshots{4096};
     std::size_t snapshotPieceBytes{256 * 1024};
-    /** Seeds the random part of the election timeout. */
+    /** Seed for the random part of the election timeout and for the first number of the read index requests. */
     std::uint64_t seed{0};
 };
 
-/** What the log asks of its surroundings. */
+/** Callbacks by which the log sends messages and drives the state machine. */
 struct ReplicatedLogHooks {
-    /** May lose, double and reorder. */
+    /** Sends a message. The transport may lose, duplicate and reorder messages. */
     std::function<void(const Protocol::Member &receiver, Protocol::LogMessage message)> send;
     /** Called once for each committed entry, in order. */
     std::function<void(const Protocol::LogEntry &entry)> apply;
-    /** The state after all applied entries. */
+    /** Returns the serialized state of the state machine after all applied entries. */
     std::function<std::string()> takeSnapshot;
-    /** Replaces the state. */
+    /** Replaces the state of the state machine by a snapshot. */
     std::function<Core::Result<void>(const std::string &state)> restoreSnapshot;
-    /** Something waits for flush(). */
+    /** Called when entries or requests are queued that flush() has to write or send. */
     std::function<void()> flushNeeded;
 };
 
-/** One instance's part of the log. */
+/** One member of the replicated log. */
 class ReplicatedLog
 {
 public:
-    /** `confirmed` is true when a quorum took this instance for the leader after the question was asked. */
+    /** `confirmed` is true when a quorum acknowledged this instance, or the leader that it asked, as the leader after the request was made. */
     using ConfirmHook = ReadIndexRequests::ConfirmHook;
 
+    /** Starts from the state that the write-ahead log recovered. Fails when the stored snapshot can't be restored. */
     [[nodiscard]] static Core::Result<std::unique_ptr<ReplicatedLog>> create(
         ReplicatedLogOptions options, ReplicatedLogHooks hooks, Storage::WriteAheadLog &writeAheadLog, Core::Instant now);
 
-    /** To be called a few times in each heartbeat period. */
+    /** Runs the election and heartbeat timers. Has to be called several times in each heartbeat period. */
     void tick(Core::Instant now);
 
+    /** Handles a message of another member. A message that is addressed to another data folder is ignored. */
     void receive(const Protocol::LogMessage &message, Core::Instant now);
 
-    /** Founds the log. The same list is given to every founding member. Fails when this instance belongs to a log. */
+    /**
+     * Bootstraps a new log. Every initial member has to be given the same membership. Fails when this instance belongs to a log that was
+     * bootstrapped with another membership, or when the membership does not list it as a voter.
+     */
     [[nodiscard]] Core::Result<void> bootstrap(const Protocol::Membership &membership);
 
-    /** Queues a command. Fails unless this instance is the leader. Whether the command is committed shows in apply(). */
+    /** Queues a command and returns its index. Fails unless this instance is the leader. The apply hook is called once the entry is committed. */
     [[nodiscard]] Core::Result<std::int64_t> propose(std::string command);
 
-    /** Queues a change of the members. Fails when one is still under way. */
+    /**
+     * Queues a change of the membership and returns its index. Fails unless this instance is the leader, while an earlier change is not
+     * committed, and when the change is invalid.
+     */
     [[nodiscard]] Core::Result<std::int64_t> proposeMembership(const Protocol::MemberChange &change);
 
-    /** Asks a quorum whether this instance still leads. The hook is called exactly once. */
+    /** Confirms with a quorum that this instance is still the leader. The hook is called exactly once, with false when it is not the leader. */
     void confirmLeadership(ConfirmHook hook);
 
     /**
-     * Asks whether what is applied here holds all that is committed by now, of a quorum or of the leader, which asks one. Confirms on any
-     * instance that hears from a leader; fails at once on one that does not. The hook is called exactly once.
+     * Confirms that all entries which are committed at the time of the call are applied on this instance. A leader confirms this with a
+     * quorum, a follower by a read index request to the leader. The hook is called exactly once; at once with false when this instance
+     * has no known leader.
      */
     void confirmCurrent(ConfirmHook hook);
 
-    /** Leader only: asks the voter that is furthest to take over. Returns false when no other voter is in reach. */
+    /**
+     * Asks the reachable voter whose log is most up to date to become leader. Returns false when this instance is not the leader or no
+     * other voter is reachable.
+     */
     bool transferLeadership(Core::Instant now);
 
-    /** Makes queued entries last and sends them. One sync for all that was proposed since the last call. */
+    /** Writes all queued entries to disk with one sync. A leader then sends them to the other members, a follower sends its read index request. */
     void flush(Core::Instant now);
 
     [[nodiscard]] Role role() const;
@@ -119,14 +131,15 @@
     [[nodiscard]] std::int64_t lastIndex() const;
     [[nodiscard]] const Protocol::Member &identity() const;
     [[nodiscard]] const Protocol::Membership &membership() const;
-    /** Whether this instance belongs to a log. */
+    /** Whether this instance belongs to a log, by bootstrap or because a leader added it. */
     [[nodiscard]] bool isInitialised() const;
-    /** The leader as far as is known, or nullptr. */
+    /** The known leader, or nullptr. */
     [[nodiscard]] const Protocol::Member *leader() const;
-    /** Leader only: how far a member's log is known to agree. */
+    /** The highest index up to which a member's log is known to equal the leader's; 0 when unknown or when this instance is not the leader. */
     [[nodiscard]] std::int64_t matchIndexOf(const std::string &name) const;
-    /** Leader only: when a member was last heard. */
+    /** When this leader last received a reply from a member, or else started to send to it; the epoch when this instance is not the leader. */
     [[nodiscard]] Core::Instant lastContactWith(const std::string &name) const;
+    /** The storage error that put this instance into Role::Failed, or empty. */
     [[nodiscard]] const std::string &storageFailure() const;
 
 private:
@@ -136,11 +149,11 @@
         std::int64_t matchIndex{0};
         std::int64_t confirmedRound{0};
         Core::Instant lastContact;
-        // While a snapshot is sent: which one, and how much of it arrived.
+        // Index of the snapshot that is being sent, 0 when none is, and the number of its bytes that the member has acknowledged.
         std::int64_t snapshotIndex{0};
         std::int64_t snapshotOffset{0};
     };
-    struct WaitingConfirmation {
+    struct PendingConfirmation {
         std::int64_t round{0};
         ConfirmHook hook;
     };
@@ -162,26 +175,26 @@
     void setTerm(std::int64_t newTerm, const std::string &vote);
     void resetElectionTimer(Core::Instant now);
     void startElectionTimer(Core::Instant now);
-    [[nodiscard]] bool takesTurns() const;
-    [[nodiscard]] bool canStand() const;
+    [[nodiscard]] bool usesElectionStagger() const;
+    [[nodiscard]] bool isVotingMember() const;
     [[nodiscard]] bool isUpToDate(const Protocol::LogMessage &request) const;
-    [[nodiscard]] bool heardLeaderRecently(Core::Instant now) const;
-    void takePreVoteRequest(const Protocol::LogMessage &message, Core::Instant now);
-    void takeVoteRequest(const Protocol::LogMessage &message, Core::Instant now);
-    void takeVoteReply(const Protocol::LogMessage &message, Core::Instant now);
-    void takeLeadershipTransfer(const Protocol::LogMessage &message, Core::Instant now);
+    [[nodiscard]] bool hadRecentLeaderContact(Core::Instant now) const;
+    void handlePreVoteRequest(const Protocol::LogMessage &message, Core::Instant now);
+    void handleVoteRequest(const Protocol::LogMessage &message, Core::Instant now);
+    void handleVoteReply(const Protocol::LogMessage &message, Core::Instant now);
+    void handleLeadershipTransfer(const Protocol::LogMessage &message, Core::Instant now);
 
     // Replication.
     void leaderTick(Core::Instant now);
     void broadcastAppend();
     void sendAppend(const Protocol::Member &member);
     void sendSnapshotPiece(const Protocol::Member &member, Progress &progress);
-    void takeAppendRequest(const Protocol::LogMessage &message, Core::Instant now);
+    void handleAppendRequest(const Protocol::LogMessage &message, Core::Instant now);
     [[nodiscard]] std::int64_t storeEntries(const Protocol::LogMessage &message);
-    void takeAppendReply(const Protocol::LogMessage &message, Core::Instant now);
-    void takeSnapshotRequest(const Protocol::LogMessage &message, Core::Instant now);
+    void handleAppendReply(const Protocol::LogMessage &message, Core::Instant now);
+    void handleSnapshotRequest(const Protocol::LogMessage &message, Core::Instant now);
     void installSnapshot(const Protocol::LogMessage &message);
-    void takeSnapshotReply(const Protocol::LogMessage &message, Core::Instant now);
+    void handleSnapshotReply(const Protocol::LogMessage &message, Core::Instant now);
     [[nodiscard]] Progress *progressOfSender(const Protocol::LogMessage &message);
     void advanceCommit();
     void commitTo(std::int64_t index);
@@ -189,16 +202,16 @@
     void finishConfirmations();
     void failConfirmations();
 
-    // Read indexes.
-    void askReadIndex(Core::Instant now);
-    void takeReadIndexRequest(const Protocol::LogMessage &message);
-    void takeReadIndexReply(const Protocol::LogMessage &message);
-    [[nodiscard]] Core::Result<std::int64_t> appendOwn(Protocol::LogEntry entry);
+    // Read index requests.
+    void sendReadIndexRequest(Core::Instant now);
+    void handleReadIndexRequest(const Protocol::LogMessage &message);
+    void handleReadIndexReply(const Protocol::LogMessage &message);
+    [[nodiscard]] Core::Result<std::int64_t> appendEntry(Protocol::LogEntry entry);
 
     [[nodiscard]] Protocol::LogMessage messageFor(const Protocol::Member &receiver, Protocol::MessageKind::type kind) const;
     [[nodiscard]] Protocol::LogMessage replyTo(const Protocol::LogMessage &request, Protocol::MessageKind::type kind) const;
     void sendReply(const Protocol::LogMessage &request, Protocol::LogMessage reply);
-    // False when the storage failed, which ends this instance's part.
+    // Writes all queued records to disk. Returns false when the storage has failed, which puts this instance into Role::Failed.
     [[nodiscard]] bool makeDurable();
     void fail();
 
@@ -210,25 +223,29 @@
     LogStore store;
 
     Role currentRole{Role::Follower};
-    // Invariant: on disk before any message shows it.
+    // Invariant: the term and the vote are on disk before any message shows them.
     std::int64_t currentTerm{0};
+    // Storage id of the member that got this instance's vote in the current term, or empty when it has not voted.
     std::string votedFor;
     std::string leaderName;
     // Invariant: never decreases; at most store.lastIndex().
     std::int64_t committed{0};
-    // What is on disk; the leader counts itself only up to here.
+    // Last index that is on disk. The leader counts its own log towards a quorum only up to this index.
     std::int64_t durableIndex{0};
+    // Index of the entry with which this leader began its term.
     std::int64_t termStartIndex{0};
     Core::Instant electionDue;
     Core::Instant lastLeaderContact;
-    bool everHeardLeader{false};
+    bool hadLeaderContact{false};
     Core::Instant nextHeartbeat;
+    // Storage ids of the members that granted their vote or pre-vote, by name.
     std::map<std::string, std::string> votes;
     std::map<std::string, Progress> progress;
+    // Number of the current round of messages or pre-vote. Replies carry it, which shows what they reply to.
     std::int64_t round{0};
-    bool roundWanted{false};
-    std::vector<WaitingConfirmation> confirmations;
-    ReadIndexRequests reads;
+    bool roundRequested{false};
+    std::vector<PendingConfirmation> confirmations;
+    ReadIndexRequests readIndexRequests;
     IncomingSnapshot incomingSnapshot;
     std::string failureMessage;
 };
--- a/Libraries/LibConsensus/WaitingProposals.h
+++ b/Libraries/LibConsensus/WaitingProposals.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Who waits for which entry of the replicated log to be committed.
+// Tracks which hooks wait for which entry of the replicated log to be committed.
 
 #pragma once
 
@@ -18,36 +18,37 @@
 namespace Consensus
 {
 
-/** Entries that a leader proposed and that are not committed yet, with the hooks of those who wait. */
+/** Entries that a leader proposed and that are not known to be committed, with the hooks to call when they are. */
 template<typename Hook>
 class WaitingProposals
 {
 public:
-    /** A hook whose entry's place in the log has been committed. */
-    struct Decided {
+    /** A hook whose log index was committed. */
+    struct CommittedProposal {
         Hook hook;
-        /** Whether it is the proposed entry that stands there; another leader may have put its own in the place. */
+        /** Whether the committed entry is the proposed one. It is not when another leader's entry replaced it at this index. */
         bool isOwn{false};
     };
 
+    /** Adds the hook for an entry that this instance proposed as leader, by the entry's index and term. */
     void add(std::int64_t index, std::int64_t term, Hook hook)
     {
-        this->waiting[index] = Waiting{.term = term, .hook = std::move(hook)};
+        this->waiting[index] = PendingProposal{.term = term, .hook = std::move(hook)};
     }
 
-    /** Takes out who waits for this committed entry, if anybody does. */
-    [[nodiscard]] std::optional<Decided> take(const Protocol::LogEntry &entry)
+    /** Removes and returns the hook that waits for the index of this committed entry, if there is one. */
+    [[nodiscard]] std::optional<CommittedProposal> take(const Protocol::LogEntry &entry)
     {
         const auto found = this->waiting.find(entry.index);
         if (found == this->waiting.end()) {
             return std::nullopt;
         }
-        Decided decided{.hook = std::move(found->second.hook), .isOwn = found->second.term == entry.term};
+        CommittedProposal committed{.hook = std::move(found->second.hook), .isOwn = found->second.term == entry.term};
         this->waiting.erase(found);
-        return decided;
+        return committed;
     }
 
-    /** Takes out all, whose outcome will not be known here. */
+    /** Removes and returns all hooks. This instance does not learn whether their entries are committed. */
     [[nodiscard]] std::vector<Hook> takeAll()
     {
         std::vector<Hook> hooks;
@@ -63,12 +64,12 @@
     }
 
 private:
-    struct Waiting {
+    struct PendingProposal {
         std::int64_t term{0};
         Hook hook;
     };
 
-    std::map<std::int64_t, Waiting> waiting;
+    std::map<std::int64_t, PendingProposal> waiting;
 };
 
 }
--- a/Libraries/LibControl/ConfigurationDelta.cpp
+++ b/Libraries/LibControl/ConfigurationDelta.cpp
@@ -12,7 +12,7 @@
 {
 
 template<typename Item>
-static void compare(const std::vector<Item> &before, const std::vector<Item> &after, std::vector<Item> &changed, std::vector<std::string> &removed)
+static void findItemChanges(const std::vector<Item> &before, const std::vector<Item> &after, std::vector<Item> &changed, std::vector<std::string> &removed)
 {
     std::map<std::string, const Item *> old;
     for (const auto &item : before) {
@@ -33,19 +33,19 @@
 }
 
 template<typename Item>
-static void carryOut(std::vector<Item> &items, const std::vector<Item> &changed, const std::vector<std::string> &removed)
+static void applyItems(std::vector<Item> &items, const std::vector<Item> &changed, const std::vector<std::string> &removed)
 {
     std::erase_if(items, [&removed](const Item &item) {
         return std::find(removed.begin(), removed.end(), item.name) != removed.end();
     });
     for (const auto &item : changed) {
-        const auto place = std::find_if(items.begin(), items.end(), [&item](const Item &candidate) {
+        const auto existing = std::find_if(items.begin(), items.end(), [&item](const Item &candidate) {
             return candidate.name == item.name;
         });
-        if (place == items.end()) {
+        if (existing == items.end()) {
             items.push_back(item);
         } else {
-            *place = item;
+            *existing = item;
         }
     }
 }
@@ -55,16 +55,16 @@
     Protocol::ConfigurationDelta delta;
     delta.fromRevision = fromRevision;
     delta.maximumEntryInstances = after.maximumEntryInstances;
-    compare(before.classes, after.classes, delta.changedClasses, delta.removedClasses);
-    compare(before.services, after.services, delta.changedServices, delta.removedServices);
+    findItemChanges(before.classes, after.classes, delta.changedClasses, delta.removedClasses);
+    findItemChanges(before.services, after.services, delta.changedServices, delta.removedServices);
     return delta;
 }
 
 Protocol::Configuration applyDelta(Protocol::Configuration configuration, const Protocol::ConfigurationDelta &delta)
 {
     configuration.maximumEntryInstances = delta.maximumEntryInstances;
-    carryOut(configuration.classes, delta.changedClasses, delta.removedClasses);
-    carryOut(configuration.services, delta.changedServices, delta.removedServices);
+    applyItems(configuration.classes, delta.changedClasses, delta.removedClasses);
+    applyItems(configuration.services, delta.changedServices, delta.removedServices);
     return configuration;
 }
 
--- a/Libraries/LibControl/ConfigurationDelta.h
+++ b/Libraries/LibControl/ConfigurationDelta.h
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The way from one configuration to a later one, so that a follower need not
-// receive thousands of services when one has changed.
+// Differences between two configurations, so that an entry instance does not receive thousands of services when one has changed.
 
 #pragma once
 
@@ -14,10 +13,10 @@
 namespace Control
 {
 
-/** What turns `before` into `after`. */
+/** The delta that turns `before`, the configuration of `fromRevision`, into `after`. */
 [[nodiscard]] Protocol::ConfigurationDelta makeDelta(std::int64_t fromRevision, const Protocol::Configuration &before, const Protocol::Configuration &after);
 
-/** Carries a delta out on the configuration that it starts from. */
+/** Applies a delta to the configuration of its `fromRevision` and returns the new configuration. */
 [[nodiscard]] Protocol::Configuration applyDelta(Protocol::Configuration configuration, const Protocol::ConfigurationDelta &delta);
 
 }
--- a/Libraries/LibControl/ConfigurationRules.cpp
+++ b/Libraries/LibControl/ConfigurationRules.cpp
@@ -18,13 +18,13 @@
 namespace
 {
 
-/** Collects faults with their places. */
+/** Collects faults, each with the path of the field in the configuration. */
 class FaultList
 {
 public:
-    void require(bool holds, const std::string &path, const std::string &message)
+    void require(bool condition, const std::string &path, const std::string &message)
     {
-        if (holds) {
+        if (condition) {
             return;
         }
         Protocol::Fault fault;
@@ -49,7 +49,7 @@
 
 }
 
-// Names stand in URLs, log lines and metric labels, so they keep to characters that need no escaping in any of them.
+// Names appear in URLs, log lines and metric labels, so they may only have characters that need no escaping in any of them.
 static bool isPlainName(const std::string &name, std::size_t maximumLength)
 {
     static constexpr const char *Allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
@@ -82,13 +82,15 @@
     faults.requireRange(service.shards, 1, limits.maximumShards, path + ".shards");
     faults.requireRange(service.replicasPerShard, 1, 1000, path + ".replicasPerShard");
     faults.requireRange(service.slotsPerReplica, 1, 100'000, path + ".slotsPerReplica");
-    // Each entry instance needs at least one connection of its own, or it could never reach the replica.
+    // Each entry instance needs at least one connection of its own, since it could not reach the replica otherwise.
     faults.requireRange(service.connectionCapPerReplica, configuration.maximumEntryInstances, 1'000'000, path + ".connectionCapPerReplica");
     faults.require(classNames.contains(service.urgencyClass), path + ".urgencyClass", "no class is named \"" + service.urgencyClass + "\"");
     std::set<std::string> actions;
     for (const auto &action : service.actions) {
-        faults.require(isPlainName(action, limits.maximumNameLength), path + ".actions", "\"" + action + "\" is no plain name");
-        faults.require(actions.insert(action).second, path + ".actions", "\"" + action + "\" stands twice");
+        faults.require(isPlainName(action, limits.maximumNameLength),
+            path + ".actions",
+            "\"" + action + "\" is empty, too long, or has characters other than letters, digits, '-', '_' and '.'");
+        faults.require(actions.insert(action).second, path + ".actions", "\"" + action + "\" is declared twice");
     }
 }
 
@@ -96,21 +98,21 @@
 {
     FaultList faults;
     faults.requireRange(configuration.maximumEntryInstances, 1, 100'000, "maximumEntryInstances");
-    faults.require(configuration.services.size() <= limits.maximumServices, "services", "there are too many");
-    faults.require(configuration.classes.size() <= limits.maximumClasses, "classes", "there are too many");
+    faults.require(configuration.services.size() <= limits.maximumServices, "services", "has too many items");
+    faults.require(configuration.classes.size() <= limits.maximumClasses, "classes", "has too many items");
     std::set<std::string> classNames;
     for (std::size_t index = 0; index < configuration.classes.size(); ++index) {
         const auto &urgencyClass = configuration.classes[index];
         const std::string path = fmt::format("classes[{}]", index);
         checkClass(faults, urgencyClass, path, limits);
-        faults.require(classNames.insert(urgencyClass.name).second, path + ".name", "\"" + urgencyClass.name + "\" stands twice");
+        faults.require(classNames.insert(urgencyClass.name).second, path + ".name", "\"" + urgencyClass.name + "\" is declared twice");
     }
     std::set<std::string> serviceNames;
     for (std::size_t index = 0; index < configuration.services.size(); ++index) {
         const auto &service = configuration.services[index];
         const std::string path = fmt::format("services[{}]", index);
         checkService(faults, service, classNames, path, configuration, limits);
-        faults.require(serviceNames.insert(service.name).second, path + ".name", "\"" + service.name + "\" stands twice");
+        faults.require(serviceNames.insert(service.name).second, path + ".name", "\"" + service.name + "\" is declared twice");
     }
     return faults.take();
 }
--- a/Libraries/LibControl/ConfigurationRules.h
+++ b/Libraries/LibControl/ConfigurationRules.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What makes a declared configuration acceptable, and how two of them differ.
+// Validation and comparison of declared configurations.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 namespace Control
 {
 
-/** Limits that hold for every configuration. */
+/** Limits that every configuration has to observe. */
 struct ConfigurationLimits {
     std::size_t maximumServices{100'000};
     std::size_t maximumClasses{64};
@@ -24,13 +24,13 @@
     std::size_t maximumNameLength{128};
 };
 
-/** Every fault at once; empty when the configuration is acceptable. */
+/** All faults of a configuration, so that an operator sees them at once; empty when the configuration is valid. */
 [[nodiscard]] std::vector<Protocol::Fault> findFaults(const Protocol::Configuration &configuration, const ConfigurationLimits &limits = {});
 
-/** What changes from one configuration to the other, one line each. */
+/** The differences between two configurations for operators, one line for each. */
 [[nodiscard]] std::vector<std::string> findDifferences(const Protocol::Configuration &before, const Protocol::Configuration &after);
 
-/** Equal exactly when the contents are. */
+/** The SHA-256 of the serialized configuration, equal for two configurations exactly when their contents are equal. */
 [[nodiscard]] std::string contentDigest(const Protocol::Configuration &configuration);
 
 }
--- a/Libraries/LibControl/ControlHandlers.h
+++ b/Libraries/LibControl/ControlHandlers.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The Thrift services of a control instance, each a thin step to ControlNode.
+// The Thrift services of a control instance. Each handler forwards its calls to ControlNode.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 namespace Control
 {
 
-/** What operators call. */
+/** The service for operators. */
 class OperatorHandler : public Protocol::OperatorCobSvIf
 {
 public:
@@ -30,14 +30,14 @@
     void dump(std::function<void(std::string const &)> callback) override;
     void drain(std::function<void()> callback) override;
 
-    /** Begins a planned stop of the process. */
+    /** Called after a drain request was answered; begins a planned stop of the process. */
     std::function<void()> stopRequested;
 
 private:
     ControlNode &node;
 };
 
-/** What entry instances call. */
+/** The service for entry instances. */
 class EntryControlHandler : public Protocol::EntryControlCobSvIf
 {
 public:
@@ -51,7 +51,7 @@
     ControlNode &node;
 };
 
-/** What control instances call on each other. */
+/** The service by which control instances send each other messages of the replicated log. */
 class ControlPeerHandler : public Protocol::ControlPeerCobSvIf
 {
 public:
--- a/Libraries/LibControl/ControlNode.cpp
+++ b/Libraries/LibControl/ControlNode.cpp
@@ -20,7 +20,8 @@
 
 static constexpr int TicksPerHeartbeat = 4;
 static constexpr Core::Duration RepairPeriod = Core::seconds(1);
-static constexpr Core::Duration FollowerRetention = Core::seconds(60);
+// An entry instance that has sent no follow request for this time is no longer listed in the status.
+static constexpr Core::Duration EntryInstanceRetention = Core::seconds(60);
 static constexpr Core::Duration DrainPollPeriod = Core::milliseconds(20);
 
 ControlNode::ControlNode(ControlNodeOptions options, Core::TimerService &timers, Core::Clock clock)
@@ -56,7 +57,7 @@
     });
     this->repairTimer = this->timers.every(RepairPeriod, [this](Core::Instant) {
         this->repair();
-        this->forgetOldFollowers();
+        this->removeStaleEntryInstances();
     });
     return {};
 }
@@ -104,20 +105,20 @@
     return this->writeAheadLog->bytesWritten();
 }
 
-// ---- Time and commits
+// ---- Timers and commits
 
 void ControlNode::tick()
 {
     this->replicatedLog->tick(this->timers.now());
     if (this->replicatedLog->role() != Consensus::Role::Leader) {
-        this->failWaiting();
-        this->followers.clear();
+        this->failWaitingProposals();
+        this->entryInstances.clear();
     }
 }
 
 void ControlNode::scheduleFlush()
 {
-    // All that is proposed before the loop comes round again shares one write and one sync.
+    // All commands that are proposed in the same iteration of the event loop share one write and one sync.
     if (this->flushTimer.isActive()) {
         return;
     }
@@ -141,13 +142,13 @@
         if (command.has_value()) {
             outcome = this->state.apply(command.value());
         } else {
-            // Every instance meets the same bytes, so every instance passes over them alike.
+            // Every instance has the same bytes in this entry, so every instance skips it alike and their states stay equal.
             Core::logEvent(Core::LogLevel::Error, "control.command_unreadable", {{"index", entry.index}, {"error", command.error().message}});
         }
     }
-    const auto decided = this->waiting.take(entry);
-    if (decided.has_value()) {
-        decided->hook(decided->isOwn ? &outcome : nullptr);
+    const auto proposal = this->waiting.take(entry);
+    if (proposal.has_value()) {
+        proposal->hook(proposal->isOwn ? &outcome : nullptr);
     }
 }
 
@@ -162,14 +163,14 @@
     this->waiting.add(index.value(), this->replicatedLog->term(), std::move(done));
 }
 
-void ControlNode::failWaiting()
+void ControlNode::failWaitingProposals()
 {
     for (const auto &hook : this->waiting.takeAll()) {
         hook(nullptr);
     }
 }
 
-bool ControlNode::acceptsWork() const
+bool ControlNode::acceptsCommands() const
 {
     return this->replicatedLog->role() == Consensus::Role::Leader && !this->draining;
 }
@@ -186,7 +187,7 @@
     return leader == nullptr ? std::string() : leader->entryAddress;
 }
 
-// ---- Operators
+// ---- Requests of operators
 
 static Protocol::ConfigurationChange toChange(const Protocol::ApplyRequest &request)
 {
@@ -205,7 +206,7 @@
 {
     Protocol::ApplyOutcome refusal;
     refusal.leaderAddress = this->leaderOperatorAddress();
-    if (!this->acceptsWork()) {
+    if (!this->acceptsCommands()) {
         refusal.status = Protocol::ApplyStatus::NOT_LEADER;
         done(refusal);
         return;
@@ -221,24 +222,24 @@
     }
     const auto change = toChange(request);
     refusal.status = Protocol::ApplyStatus::UNKNOWN;
-    const auto answerUnknown = [refusal, done] {
+    const auto replyUnknown = [refusal, done] {
         done(refusal);
     };
     if (request.dryRun) {
-        this->replicatedLog->confirmLeadership([this, change, answerUnknown, done](bool confirmed) {
+        this->replicatedLog->confirmLeadership([this, change, replyUnknown, done](bool confirmed) {
             if (confirmed) {
-                done(this->state.examine(change));
+                done(this->state.evaluate(change));
             } else {
-                answerUnknown();
+                replyUnknown();
             }
         });
         return;
     }
     Protocol::Command command;
     command.__set_change(change);
-    this->propose(std::move(command), [answerUnknown, done](const CommandOutcome *outcome) {
+    this->propose(std::move(command), [replyUnknown, done](const CommandOutcome *outcome) {
         if (outcome == nullptr) {
-            answerUnknown();
+            replyUnknown();
             return;
         }
         const auto &answer = outcome->change;
@@ -294,11 +295,11 @@
     status.initialised = log.isInitialised();
     status.membership = log.membership();
     status.storageFailure = log.storageFailure();
-    for (const auto &[name, follower] : this->followers) {
+    for (const auto &[name, entryInstance] : this->entryInstances) {
         Protocol::EntryConfirmation confirmation;
         confirmation.entryName = name;
-        confirmation.confirmedRevision = follower.revision;
-        confirmation.lastSeenMillisecondsAgo = Core::toMilliseconds(this->timers.now() - follower.lastSeen);
+        confirmation.confirmedRevision = entryInstance.revision;
+        confirmation.lastSeenMillisecondsAgo = Core::toMilliseconds(this->timers.now() - entryInstance.lastSeen);
         status.entries.push_back(confirmation);
     }
     return status;
@@ -307,9 +308,9 @@
 Protocol::MemberOutcome ControlNode::bootstrap(const Protocol::Membership &membership)
 {
     Protocol::MemberOutcome outcome;
-    const auto founded = this->replicatedLog->bootstrap(membership);
-    outcome.status = founded.has_value() ? Protocol::MemberStatus::DONE : Protocol::MemberStatus::REFUSED;
-    outcome.message = founded.has_value() ? std::string() : founded.error().message;
+    const auto bootstrapped = this->replicatedLog->bootstrap(membership);
+    outcome.status = bootstrapped.has_value() ? Protocol::MemberStatus::DONE : Protocol::MemberStatus::REFUSED;
+    outcome.message = bootstrapped.has_value() ? std::string() : bootstrapped.error().message;
     return outcome;
 }
 
@@ -317,7 +318,7 @@
 {
     Protocol::MemberOutcome outcome;
     outcome.leaderAddress = this->leaderOperatorAddress();
-    if (!this->acceptsWork()) {
+    if (!this->acceptsCommands()) {
         outcome.status = Protocol::MemberStatus::NOT_LEADER;
         done(outcome);
         return;
@@ -355,14 +356,14 @@
     document["members"] = nlohmann::json::array();
     for (const auto &member : status.membership.members) {
         const bool isLeader = this->replicatedLog->role() == Consensus::Role::Leader;
-        const auto silence = Core::toMilliseconds(this->timers.now() - this->replicatedLog->lastContactWith(member.name));
+        const auto sinceContact = Core::toMilliseconds(this->timers.now() - this->replicatedLog->lastContactWith(member.name));
         document["members"].push_back({{"name", member.name},
             {"zone", member.zone},
             {"storage_id", member.storageId},
             {"voter", member.voter},
             {"peer_address", member.peerAddress},
             {"match_index", isLeader ? nlohmann::json(this->replicatedLog->matchIndexOf(member.name)) : nlohmann::json()},
-            {"silent_ms", isLeader && member.name != status.instanceName ? nlohmann::json(silence) : nlohmann::json()}});
+            {"silent_ms", isLeader && member.name != status.instanceName ? nlohmann::json(sinceContact) : nlohmann::json()}});
     }
     document["entries"] = nlohmann::json::array();
     for (const auto &entry : status.entries) {
@@ -372,7 +373,7 @@
     return document.dump(2);
 }
 
-// ---- Entry instances
+// ---- Requests of entry instances
 
 Protocol::FollowReply ControlNode::makeFollowReply(const Protocol::FollowRequest &request) const
 {
@@ -403,12 +404,13 @@
             done(reply);
             return;
         }
-        this->followers[request.entryName] = Follower{.incarnation = request.incarnation, .revision = request.revision, .lastSeen = this->timers.now()};
+        this->entryInstances[request.entryName]
+            = EntryInstance{.incarnation = request.incarnation, .revision = request.revision, .lastSeen = this->timers.now()};
         done(this->makeFollowReply(request));
     });
 }
 
-// A UUID may be written in either case; both are one key.
+// A UUID may be written in upper or lower case; both spellings are the same key.
 static std::string normalizedKey(std::string key)
 {
     std::transform(key.begin(), key.end(), key.begin(), [](unsigned char character) {
@@ -421,7 +423,7 @@
 {
     Protocol::ClaimReply refusal;
     refusal.leaderAddress = this->leaderEntryAddress();
-    if (!this->acceptsWork()) {
+    if (!this->acceptsCommands()) {
         refusal.status = Protocol::ClaimStatus::NOT_LEADER;
         done(refusal);
         return;
@@ -454,11 +456,11 @@
     });
 }
 
-// ---- Repair and stop
+// ---- Repair and drain
 
 void ControlNode::repair()
 {
-    if (!this->acceptsWork()) {
+    if (!this->acceptsCommands()) {
         return;
     }
     const RepairView view{
@@ -486,10 +488,10 @@
             {"accepted", proposed.has_value() ? "yes" : proposed.error().message}});
 }
 
-void ControlNode::forgetOldFollowers()
+void ControlNode::removeStaleEntryInstances()
 {
-    std::erase_if(this->followers, [this](const auto &item) {
-        return this->timers.now() - item.second.lastSeen > FollowerRetention;
+    std::erase_if(this->entryInstances, [this](const auto &item) {
+        return this->timers.now() - item.second.lastSeen > EntryInstanceRetention;
     });
 }
 
@@ -508,7 +510,7 @@
         return;
     }
     if (this->replicatedLog->role() == Consensus::Role::Leader && this->replicatedLog->transferLeadership(this->timers.now())) {
-        // The next look finds this instance a follower, or asks again.
+        // The next poll finds that this instance is a follower, or requests the transfer again.
         return;
     }
     this->drainTimer.cancel();
--- a/Libraries/LibControl/ControlState.cpp
+++ b/Libraries/LibControl/ControlState.cpp
@@ -80,18 +80,18 @@
     return outcome;
 }
 
-// What an operator sent, so that a resent change can be told from another one under the same id.
+// Compares what the operator sent, to distinguish a change that is sent again from another change with the same id.
 static bool isSameRequest(const Protocol::ConfigurationChange &first, const Protocol::ConfigurationChange &second)
 {
     const bool sameRollback = first.__isset.rollbackTo == second.__isset.rollbackTo && first.rollbackTo == second.rollbackTo;
     return first.contentDigest == second.contentDigest && first.baseRevision == second.baseRevision && sameRollback;
 }
 
-Protocol::ApplyOutcome ControlState::examine(const Protocol::ConfigurationChange &change) const
+Protocol::ApplyOutcome ControlState::evaluate(const Protocol::ConfigurationChange &change) const
 {
     const auto *earlier = this->changeWithId(change.changeId);
     if (earlier != nullptr) {
-        // A resent change gets its first answer again.
+        // A change that is sent again gets the same outcome as the first time.
         const bool resent = isSameRequest(earlier->change, change);
         auto outcome = makeOutcome(resent ? Protocol::ApplyStatus::ACCEPTED : Protocol::ApplyStatus::CHANGE_ID_REUSED, earlier->revision);
         outcome.differences = earlier->differences;
@@ -108,7 +108,7 @@
         auto outcome = makeOutcome(Protocol::ApplyStatus::INVALID, this->revision());
         Protocol::Fault fault;
         fault.path = "rollbackTo";
-        fault.message = "this revision is not kept";
+        fault.message = "the configuration of this revision is not kept";
         outcome.faults.push_back(fault);
         return outcome;
     }
@@ -126,7 +126,7 @@
 
 Protocol::ApplyOutcome ControlState::accept(const Protocol::ConfigurationChange &change)
 {
-    auto outcome = this->examine(change);
+    auto outcome = this->evaluate(change);
     if (outcome.status != Protocol::ApplyStatus::WOULD_BE_ACCEPTED) {
         return outcome;
     }
@@ -140,17 +140,17 @@
     accepted.acceptedAtMilliseconds = this->time;
     accepted.differences = outcome.differences;
     this->changes.push_back(std::move(accepted));
-    this->forgetOldChanges();
+    this->discardOldChanges();
     return outcome;
 }
 
-void ControlState::forgetOldChanges()
+void ControlState::discardOldChanges()
 {
-    if (this->changes.size() > this->options.keptChanges) {
+    if (this->changes.size() > this->options.retainedChanges) {
         this->changes.erase(this->changes.begin());
     }
-    if (this->changes.size() > this->options.keptContents) {
-        auto &old = this->changes[this->changes.size() - this->options.keptContents - 1];
+    if (this->changes.size() > this->options.retainedContents) {
+        auto &old = this->changes[this->changes.size() - this->options.retainedContents - 1];
         old.contentKept = false;
         old.change.configuration = emptyConfiguration();
     }
@@ -180,7 +180,7 @@
     return reply;
 }
 
-Protocol::ClaimReply ControlState::answerFromRecord(const Protocol::ClaimRecord &record, const Protocol::ClaimRequest &request) const
+Protocol::ClaimReply ControlState::replyFromRecord(const Protocol::ClaimRecord &record, const Protocol::ClaimRequest &request) const
 {
     if (record.requestDigest != request.requestDigest) {
         return makeReply(Protocol::ClaimStatus::KEY_REUSED);
@@ -190,19 +190,19 @@
         reply.__set_outcome(record.outcome);
         return reply;
     }
-    // The same attempt asks again because its first answer was lost.
+    // The same attempt claims the key again when the reply to its first claim was lost.
     if (record.attemptId == request.attemptId) {
         return makeReply(Protocol::ClaimStatus::GRANTED);
     }
-    const bool inTime = this->time < record.limitAtMilliseconds;
-    return makeReply(inTime ? Protocol::ClaimStatus::IN_PROGRESS : Protocol::ClaimStatus::OUTCOME_UNKNOWN);
+    const bool withinLimit = this->time < record.limitAtMilliseconds;
+    return makeReply(withinLimit ? Protocol::ClaimStatus::IN_PROGRESS : Protocol::ClaimStatus::OUTCOME_UNKNOWN);
 }
 
 Protocol::ClaimReply ControlState::claim(const Protocol::ClaimRequest &request)
 {
     const auto known = this->claims.find(request.key);
     if (known != this->claims.end()) {
-        return this->answerFromRecord(known->second, request);
+        return this->replyFromRecord(known->second, request);
     }
     const auto keyTime = Core::timeOfUuidVersion7(request.key);
     if (!keyTime.has_value() || keyTime->count() < this->time - this->options.claimHorizon.count()) {
@@ -231,7 +231,7 @@
     }
     reply.status = Protocol::SettleStatus::SETTLED;
     if (known->second.__isset.outcome) {
-        // A recorded outcome is final, whatever arrives late.
+        // A recorded outcome is final. A later outcome or release is ignored.
         return reply;
     }
     if (request.__isset.outcome) {
@@ -264,7 +264,7 @@
 
 void ControlState::expireClaims()
 {
-    // NOTE: A record goes only when its key would be refused as too old, so no key is ever granted twice.
+    // NOTE: A record is removed only when its key would be rejected as too old, so no key is ever granted twice.
     const std::int64_t oldest = this->time - this->options.claimHorizon.count();
     while (!this->claimsByKeyTime.empty() && this->claimsByKeyTime.begin()->first < oldest) {
         this->claims.erase(this->claimsByKeyTime.begin()->second);
@@ -289,7 +289,7 @@
     Protocol::ControlSnapshot snapshot;
     snapshot.timeMilliseconds = this->time;
     snapshot.changes = this->changes;
-    // In the order of the keys' times, so that equal states give equal bytes.
+    // The claims are written in the order of their keys' times, so that equal states give equal bytes.
     for (const auto &[keyTime, key] : this->claimsByKeyTime) {
         snapshot.claims.push_back(this->claims.at(key));
     }
--- a/Libraries/LibControl/ControlState.h
+++ b/Libraries/LibControl/ControlState.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The state that the replicated log carries: the accepted configurations and
-// the claims of non-repeatable requests. A pure function of the commands.
+// The state machine of the replicated log: the accepted configurations and the claims of non-repeatable requests. It depends only on the
+// commands and their order, and reads no clock.
 
 #pragma once
 
@@ -20,45 +20,45 @@
 namespace Control
 {
 
-/** How long records are kept. */
+/** Limits on the age and the number of records. */
 struct ControlStateOptions {
-    /** A key older than this is refused, and its record may go. */
+    /** Maximum age of an idempotency key. An older key is rejected, and its record is removed. */
     std::chrono::milliseconds claimHorizon{std::chrono::hours(24)};
-    /** How far ahead of the log's time a key's embedded time may be. */
+    /** Maximum by which the time embedded in a key may be ahead of the log's time. */
     std::chrono::milliseconds futureTolerance{std::chrono::minutes(5)};
-    /** Accepted changes that history and resent changes reach back to. */
-    std::size_t keptChanges{1000};
-    /** Accepted changes that rollback and deltas reach back to. */
-    std::size_t keptContents{64};
+    /** Number of accepted changes that are kept for the history and to recognize a change that is sent again. */
+    std::size_t retainedChanges{1000};
+    /** Number of accepted changes whose configuration is kept for rollbacks and deltas. */
+    std::size_t retainedContents{64};
 };
 
-/** What came of a command. Exactly one member is meant, by the command's kind. */
+/** The outcome of a command. Only the member for the kind of the command is set. */
 struct CommandOutcome {
     Protocol::ApplyOutcome change;
     Protocol::ClaimReply claim;
     Protocol::SettleReply settle;
 };
 
-/** Applies commands in log order. Every instance reaches the same state and outcomes. */
+/** Applies commands in log order, so that every instance gets the same state and the same outcomes. */
 class ControlState
 {
 public:
     explicit ControlState(ControlStateOptions options = {});
 
-    /** Carries out one command. */
     CommandOutcome apply(const Protocol::Command &command);
 
-    /** What a change would come to, without carrying it out. */
-    [[nodiscard]] Protocol::ApplyOutcome examine(const Protocol::ConfigurationChange &change) const;
+    /** The outcome that a change would have now. Nothing is changed. */
+    [[nodiscard]] Protocol::ApplyOutcome evaluate(const Protocol::ConfigurationChange &change) const;
 
     [[nodiscard]] std::int64_t revision() const;
-    /** The configuration of the current revision; an empty one at revision 0. */
+    /** The configuration of the current revision; the empty configuration at revision 0. */
     [[nodiscard]] const Protocol::Configuration &configuration() const;
-    /** The configuration of a revision, or nullptr when it is not kept. Revision 0 is the empty one. */
+    /** The configuration of a revision, or nullptr when it is not kept. Revision 0 has the empty configuration. */
     [[nodiscard]] const Protocol::Configuration *configurationAt(std::int64_t revision) const;
-    /** The latest changes, newest first. */
+    /** The latest accepted changes, newest first. */
     [[nodiscard]] std::vector<Protocol::HistoryEntry> history(std::size_t limit) const;
     [[nodiscard]] std::size_t claimCount() const;
+    /** The log's time, the latest wall time that a command carried, in milliseconds since the Unix epoch. */
     [[nodiscard]] std::int64_t timeMilliseconds() const;
 
     [[nodiscard]] std::string takeSnapshot() const;
@@ -67,21 +67,21 @@
 private:
     [[nodiscard]] Protocol::ApplyOutcome accept(const Protocol::ConfigurationChange &change);
     [[nodiscard]] Protocol::ClaimReply claim(const Protocol::ClaimRequest &request);
-    [[nodiscard]] Protocol::ClaimReply answerFromRecord(const Protocol::ClaimRecord &record, const Protocol::ClaimRequest &request) const;
+    [[nodiscard]] Protocol::ClaimReply replyFromRecord(const Protocol::ClaimRecord &record, const Protocol::ClaimRequest &request) const;
     [[nodiscard]] Protocol::SettleReply settle(const Protocol::SettleRequest &request);
     [[nodiscard]] const Protocol::AcceptedChange *changeWithId(const std::string &changeId) const;
     void insertClaim(const Protocol::ClaimRecord &record);
     void eraseClaim(const std::string &key);
     void expireClaims();
-    void forgetOldChanges();
+    void discardOldChanges();
 
     ControlStateOptions options;
     // Invariant: never decreases.
     std::int64_t time{0};
-    // Invariant: consecutive revisions, the last one is the current one.
+    // Invariant: the revisions are consecutive, and the last one is current.
     std::vector<Protocol::AcceptedChange> changes;
     std::unordered_map<std::string, Protocol::ClaimRecord> claims;
-    // Invariant: one key for each record of `claims`, by the time embedded in it.
+    // Invariant: has the key of each record in `claims`, ordered by the time that is embedded in the key.
     std::multimap<std::int64_t, std::string> claimsByKeyTime;
 };
 
--- a/Libraries/LibControl/PeerTransport.cpp
+++ b/Libraries/LibControl/PeerTransport.cpp
@@ -46,7 +46,7 @@
             continue;
         }
         auto client = std::make_shared<Protocol::ControlPeerCobClient>(peer.channel, Rpc::protocolFactory().get());
-        // The acknowledgement only frees the client; what was delivered shows in the replies of the log.
+        // The callback only keeps the client alive until the call ends. Whether a message arrived shows in the replies of the replicated log.
         client->deliver(
             [client](Protocol::ControlPeerCobClient *) {
             },
--- a/Libraries/LibControl/PeerTransport.h
+++ b/Libraries/LibControl/PeerTransport.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Carries the replicated log's messages to other control instances. Messages to
-// one receiver that are made in one round of the loop travel together.
+// Sends the messages of the replicated log to other control instances. Messages to one receiver that are queued in the same iteration of the
+// event loop are sent in one call.
 
 #pragma once
 
@@ -18,7 +18,7 @@
 namespace Control
 {
 
-/** Loses messages rather than letting them pile up; the log repairs what is lost. */
+/** Drops messages to a receiver that has too many calls in flight, instead of queueing them. The replicated log sends lost messages again. */
 class PeerTransport
 {
 public:
@@ -35,7 +35,7 @@
     void flush();
 
     Core::TimerService &timers;
-    // By address, since a receiver may be known by address only.
+    // Peers by their address, since a receiver may be known by address only.
     std::map<std::string, Peer> peers;
     Core::TimerSubscription flushTimer;
 };
--- a/Libraries/LibControl/RepairPolicy.cpp
+++ b/Libraries/LibControl/RepairPolicy.cpp
@@ -22,15 +22,15 @@
 static const Protocol::Member *findStandby(const RepairView &view, const RepairOptions &options)
 {
     for (const auto &member : view.membership.members) {
-        const bool fresh = view.timeSinceContact(member.name) <= options.standbyFreshness;
-        if (!member.voter && fresh && view.matchIndexOf(member.name) >= view.commitIndex) {
+        const bool reachable = view.timeSinceContact(member.name) <= options.standbyContactTimeout;
+        if (!member.voter && reachable && view.matchIndexOf(member.name) >= view.commitIndex) {
             return &member;
         }
     }
     return nullptr;
 }
 
-// An even number of voters is what a half-finished repair leaves.
+// A repair whose standby has been promoted, but whose lost voter has not been removed, leaves an even number of voters.
 static bool standbyWasPromoted(const RepairView &view)
 {
     std::size_t voters = 0;
--- a/Libraries/LibControl/RepairPolicy.h
+++ b/Libraries/LibControl/RepairPolicy.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Decides when the leader replaces a voter that it has lost by a standby.
+// Decides when the leader replaces a voter that it can't reach by a standby, a member without a vote.
 
 #pragma once
 
@@ -16,15 +16,15 @@
 namespace Control
 {
 
-/** How patient the repair is. */
+/** Time limits of the repair. */
 struct RepairOptions {
-    /** A voter that was silent for this long counts as lost. */
+    /** A voter counts as lost when the leader has received no message from it for this time. */
     Core::Duration replaceAfter{Core::seconds(60)};
-    /** A standby has to have been heard within this time. */
-    Core::Duration standbyFreshness{Core::seconds(2)};
+    /** A standby is eligible only when the leader has received a message from it within this time. */
+    Core::Duration standbyContactTimeout{Core::seconds(2)};
 };
 
-/** What the leader knows of its peers. */
+/** What the leader knows of the other members. */
 struct RepairView {
     std::string leaderName;
     Protocol::Membership membership;
@@ -34,10 +34,8 @@
 };
 
 /**
- * The next step, or nothing. A standby becomes a voter before the lost voter
- * is taken out, so that between the two steps the log is held by at least as
- * many instances as before, and a second loss right after the repair meets a
- * whole quorum.
+ * The next step of a repair, or nothing when none is due. A standby is promoted to a voter before the lost voter is removed. Between the two
+ * steps at least as many instances as before hold the log, and a second loss right after the repair finds a complete quorum.
  */
 [[nodiscard]] std::optional<Protocol::MemberChange> chooseRepair(const RepairView &view, const RepairOptions &options);
 
--- a/Libraries/LibStorage/Batch.cpp
+++ b/Libraries/LibStorage/Batch.cpp
@@ -10,7 +10,7 @@
 namespace Storage
 {
 
-// A content whose last bytes were never written reads as at least this many zeros.
+// A content whose last blocks were never written ends with at least this many zero bytes.
 static constexpr std::size_t UnwrittenTailBytes = 64;
 
 void appendNumber(std::string &bytes, std::uint32_t number)
@@ -49,17 +49,16 @@
     return bytes.find_first_not_of('\0') == std::string_view::npos;
 }
 
-// A write that a crash cut short leaves a file that is too short, or whose last
-// blocks were never written and read as zeros. Bytes that are there and do not
-// match their checksum were changed afterwards: that may be an entry which this
-// instance has acknowledged, so it must not go on as if it had never held it.
+// After a crash during a write, the file is too short, or its last blocks were never written and read as zeros. Other bytes that do not match
+// their checksum changed after they were written. They may be an entry that this instance has acknowledged, so they must not be treated as
+// torn: the instance would continue without an entry that others rely on.
 BatchState examineBatch(std::string_view rest)
 {
     if (rest.size() < BatchHeaderBytes) {
         return BatchState::Torn;
     }
     if (numberAt(rest, NumberBytes) != checksumOf(rest.substr(0, NumberBytes))) {
-        return isAllZero(rest) ? BatchState::Torn : BatchState::Damaged;
+        return isAllZero(rest) ? BatchState::Torn : BatchState::Corrupt;
     }
     const std::size_t length = numberAt(rest, 0);
     const std::string_view content = rest.substr(BatchHeaderBytes);
@@ -71,7 +70,7 @@
     }
     const bool isLast = content.size() == length;
     const bool tailUnwritten = length >= UnwrittenTailBytes && isAllZero(content.substr(length - UnwrittenTailBytes, UnwrittenTailBytes));
-    return isLast && tailUnwritten ? BatchState::Torn : BatchState::Damaged;
+    return isLast && tailUnwritten ? BatchState::Torn : BatchState::Corrupt;
 }
 
 std::string_view batchContent(std::string_view rest)
--- a/Libraries/LibStorage/Folder.h
+++ b/Libraries/LibStorage/Folder.h
@@ -3,9 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The one data folder of an instance with a disk. Files last only once they
-// are synced (brief, "Where it will run"); this interface makes that explicit,
-// so that a test can take away everything that was not.
+// The data folder of an instance that stores data on disk. Appended bytes survive a crash only after a sync. This interface makes the syncs
+// explicit, so that a test can discard everything that was not synced.
 
 #pragma once
 
@@ -19,7 +18,7 @@
 namespace Storage
 {
 
-/** Files of one folder, by plain name. All failures are of kind Storage, a missing file is NotFound. */
+/** The files of one folder, by file name without a path. Failures are of kind Storage, except that a missing file is of kind NotFound. */
 class Folder
 {
 public:
@@ -28,24 +27,24 @@
     Folder(const Folder &) = delete;
     Folder &operator=(const Folder &) = delete;
 
-    /** Names of the files, sorted. */
+    /** The names of the files, sorted. */
     [[nodiscard]] virtual Core::Result<std::vector<std::string>> list() = 0;
 
     [[nodiscard]] virtual Core::Result<std::string> read(const std::string &name) = 0;
 
-    /** Adds bytes to the end of a file, made if it is not there. Nothing lasts before sync(). */
+    /** Appends bytes to a file, which is created when it does not exist. The bytes are durable only after sync(). */
     [[nodiscard]] virtual Core::Result<void> append(const std::string &name, std::string_view bytes) = 0;
 
-    /** Makes everything appended so far last, the file's name included. */
+    /** Makes all bytes that were appended to a file durable, and the file's directory entry. */
     [[nodiscard]] virtual Core::Result<void> sync(const std::string &name) = 0;
 
-    /** Puts a whole new content in a file's place. Afterwards, or after a crash, the file holds the old or the new content. */
+    /** Replaces the whole content of a file, durably and atomically: after a crash the file has either the old or the new content. */
     [[nodiscard]] virtual Core::Result<void> replace(const std::string &name, std::string_view bytes) = 0;
 
-    /** Cuts a file to a length and makes that last. */
+    /** Truncates a file to a length in bytes, durably. */
     [[nodiscard]] virtual Core::Result<void> truncate(const std::string &name, std::uint64_t length) = 0;
 
-    /** Removes a file. Not finding it is no failure. */
+    /** Removes a file. Succeeds when the file does not exist. */
     [[nodiscard]] virtual Core::Result<void> remove(const std::string &name) = 0;
 };
 
--- a/Libraries/LibStorage/PosixFolder.cpp
+++ b/Libraries/LibStorage/PosixFolder.cpp
@@ -85,7 +85,7 @@
 Core::Result<std::unique_ptr<PosixFolder>> PosixFolder::create(const std::string &path)
 {
     if (::mkdir(path.c_str(), FolderMode) != 0 && errno != EEXIST) {
-        return systemFailure("make folder", path);
+        return systemFailure("create folder", path);
     }
     FileDescriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (!folder.isOpen()) {
@@ -152,7 +152,7 @@
     if (!file.isOpen()) {
         return systemFailure("open", name);
     }
-    // A new name lasts only once the folder is synced, too.
+    // The directory entry of a new file is durable only after a sync of the folder.
     auto synced = this->syncFolder();
     if (!synced.has_value()) {
         return tl::make_unexpected(synced.error());
--- a/Libraries/LibStorage/PosixFolder.h
+++ b/Libraries/LibStorage/PosixFolder.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The data folder on a real file system.
+// The data folder on a POSIX file system.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 namespace Storage
 {
 
-/** A file descriptor that closes itself. */
+/** Owns a file descriptor and closes it on destruction. */
 class FileDescriptor
 {
 public:
@@ -34,11 +34,11 @@
     int descriptor{-1};
 };
 
-/** Holds a lock on the folder, so that two processes never write to one. */
+/** A folder on disk. Holds an exclusive lock on it, so that no two processes write to the same folder. */
 class PosixFolder final : public Folder
 {
 public:
-    /** Makes the folder if it is not there. Fails when another process holds it. */
+    /** Opens the folder, and creates it when it does not exist. Fails when another process holds its lock. */
     [[nodiscard]] static Core::Result<std::unique_ptr<PosixFolder>> create(const std::string &path);
 
     [[nodiscard]] Core::Result<std::vector<std::string>> list() override;
--- a/Libraries/LibStorage/WriteAheadLog.cpp
+++ b/Libraries/LibStorage/WriteAheadLog.cpp
@@ -54,14 +54,14 @@
     if (!names.has_value()) {
         return tl::make_unexpected(names.error());
     }
-    // The log file is written after its snapshot, so the newest log file names the newest whole generation.
+    // A compaction writes the log file after the snapshot, so the newest log file has the number of the newest complete generation.
     for (const auto &name : names.value()) {
         if (name.starts_with(LogPrefix)) {
             this->generation = std::max(this->generation, generationOf(name, LogPrefix));
         }
     }
     if (this->generation == 0) {
-        return this->startNewFolder();
+        return this->initializeFolder();
     }
     for (const auto &name : names.value()) {
         if (name == fileName(SnapshotPrefix, this->generation)) {
@@ -76,13 +76,13 @@
         return outcome;
     }
     if (this->recovered.storageId.empty()) {
-        return Core::failure(Core::ErrorKind::Corruption, "the log file does not begin with the folder's identity");
+        return Core::failure(Core::ErrorKind::Corruption, "the log file does not begin with the storage id");
     }
     this->storageId = this->recovered.storageId;
     return this->removeOldGenerations(names.value());
 }
 
-Core::Result<void> WriteAheadLog::startNewFolder()
+Core::Result<void> WriteAheadLog::initializeFolder()
 {
     this->generation = 1;
     this->storageId = Core::randomToken();
@@ -90,8 +90,8 @@
     Protocol::StorageRecord record;
     record.__set_storageId(this->storageId);
     this->queueRecord(record);
-    // NOTE: replace() makes the first batch last or leaves no file at all, so a folder never has half an identity.
-    const std::string batch = frameBatch(std::exchange(this->queued, {}));
+    // NOTE: replace() is atomic, so a crash leaves the first batch complete or no file at all, and never a partial storage id.
+    const std::string batch = frameBatch(std::exchange(this->queuedRecords, {}));
     return this->folder.replace(fileName(LogPrefix, this->generation), batch);
 }
 
@@ -117,9 +117,9 @@
         return tl::make_unexpected(content.error());
     }
     const std::string_view bytes = content.value();
-    // A snapshot takes its name only when it is whole, so it can't be torn.
+    // A snapshot file gets its name only when it is complete, so it can't be torn.
     if (examineBatch(bytes) != BatchState::Whole || batchContent(bytes).size() != bytes.size() - BatchHeaderBytes) {
-        return Core::failure(Core::ErrorKind::Corruption, name + " is damaged");
+        return Core::failure(Core::ErrorKind::Corruption, name + " is corrupt");
     }
     auto snapshot = Rpc::deserialize<Protocol::StoredSnapshot>(batchContent(bytes));
     if (!snapshot.has_value()) {
@@ -139,8 +139,8 @@
     while (!rest.empty()) {
         const std::uint64_t offset = content.value().size() - rest.size();
         const BatchState state = examineBatch(rest);
-        if (state == BatchState::Damaged) {
-            return Core::failure(Core::ErrorKind::Corruption, fmt::format("{} is damaged at byte {}", name, offset));
+        if (state == BatchState::Corrupt) {
+            return Core::failure(Core::ErrorKind::Corruption, fmt::format("{} is corrupt at byte {}", name, offset));
         }
         if (state == BatchState::Torn) {
             this->recovered.tornBytes = rest.size();
@@ -203,7 +203,7 @@
     const std::int64_t snapshotIndex = this->recovered.snapshot.has_value() ? this->recovered.snapshot->index : 0;
     const std::int64_t expected = entries.empty() ? snapshotIndex + 1 : entries.back().index + 1;
     if (entry.index != expected) {
-        return Core::failure(Core::ErrorKind::Corruption, fmt::format("entry {} follows where entry {} belongs", entry.index, expected));
+        return Core::failure(Core::ErrorKind::Corruption, fmt::format("found entry {} where entry {} was expected", entry.index, expected));
     }
     entries.push_back(entry);
     return {};
@@ -212,25 +212,25 @@
 void WriteAheadLog::queueRecord(const Protocol::StorageRecord &record)
 {
     const std::string bytes = Rpc::serialize(record);
-    appendNumber(this->queued, static_cast<std::uint32_t>(bytes.size()));
-    this->queued += bytes;
+    appendNumber(this->queuedRecords, static_cast<std::uint32_t>(bytes.size()));
+    this->queuedRecords += bytes;
 }
 
-void WriteAheadLog::putEntry(const Protocol::LogEntry &entry)
+void WriteAheadLog::queueEntry(const Protocol::LogEntry &entry)
 {
     Protocol::StorageRecord record;
     record.__set_entry(entry);
     this->queueRecord(record);
 }
 
-void WriteAheadLog::putTruncation(std::int64_t fromIndex)
+void WriteAheadLog::queueTruncation(std::int64_t fromIndex)
 {
     Protocol::StorageRecord record;
     record.__set_truncateFrom(fromIndex);
     this->queueRecord(record);
 }
 
-void WriteAheadLog::putVote(std::int64_t term, const std::string &votedFor)
+void WriteAheadLog::queueVote(std::int64_t term, const std::string &votedFor)
 {
     Protocol::StorageRecord record;
     record.__set_term(term);
@@ -238,9 +238,9 @@
     this->queueRecord(record);
 }
 
-bool WriteAheadLog::hasUnflushed() const
+bool WriteAheadLog::hasUnflushedRecords() const
 {
-    return !this->queued.empty();
+    return !this->queuedRecords.empty();
 }
 
 Core::Result<void> WriteAheadLog::flush()
@@ -248,18 +248,18 @@
     if (!this->failure.empty()) {
         return Core::failure(Core::ErrorKind::Storage, this->failure);
     }
-    if (this->queued.empty()) {
+    if (this->queuedRecords.empty()) {
         return {};
     }
     const std::string name = fileName(LogPrefix, this->generation);
-    const std::string batch = frameBatch(std::exchange(this->queued, {}));
+    const std::string batch = frameBatch(std::exchange(this->queuedRecords, {}));
     auto outcome = this->folder.append(name, batch);
     if (!outcome.has_value()) {
-        return this->remember(std::move(outcome));
+        return this->recordFailure(std::move(outcome));
     }
     this->written += batch.size();
     ++this->syncs;
-    return this->remember(this->folder.sync(name));
+    return this->recordFailure(this->folder.sync(name));
 }
 
 Core::Result<void> WriteAheadLog::compact(
@@ -271,29 +271,29 @@
     const std::uint64_t next = this->generation + 1;
     auto outcome = this->folder.replace(fileName(SnapshotPrefix, next), frameBatch(Rpc::serialize(snapshot)));
     if (!outcome.has_value()) {
-        return this->remember(std::move(outcome));
+        return this->recordFailure(std::move(outcome));
     }
-    this->queued.clear();
+    this->queuedRecords.clear();
     Protocol::StorageRecord identity;
     identity.__set_storageId(this->storageId);
     this->queueRecord(identity);
-    this->putVote(term, votedFor);
+    this->queueVote(term, votedFor);
     for (const auto &entry : entries) {
-        this->putEntry(entry);
+        this->queueEntry(entry);
     }
-    outcome = this->folder.replace(fileName(LogPrefix, next), frameBatch(std::exchange(this->queued, {})));
+    outcome = this->folder.replace(fileName(LogPrefix, next), frameBatch(std::exchange(this->queuedRecords, {})));
     if (!outcome.has_value()) {
-        return this->remember(std::move(outcome));
+        return this->recordFailure(std::move(outcome));
     }
     const std::uint64_t old = std::exchange(this->generation, next);
     outcome = this->folder.remove(fileName(LogPrefix, old));
     if (!outcome.has_value()) {
-        return this->remember(std::move(outcome));
+        return this->recordFailure(std::move(outcome));
     }
-    return this->remember(this->folder.remove(fileName(SnapshotPrefix, old)));
+    return this->recordFailure(this->folder.remove(fileName(SnapshotPrefix, old)));
 }
 
-Core::Result<void> WriteAheadLog::remember(Core::Result<void> outcome)
+Core::Result<void> WriteAheadLog::recordFailure(Core::Result<void> outcome)
 {
     if (!outcome.has_value()) {
         this->failure = outcome.error().message;
--- a/Libraries/LibStorage/WriteAheadLog.h
+++ b/Libraries/LibStorage/WriteAheadLog.h
@@ -3,9 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The write-ahead log of one control instance: what it voted, the entries that
-// it holds, and the latest snapshot. docs/REPLICATED-LOG.md, "Storage", gives
-// the file format and what each kind of damage leads to.
+// The write-ahead log of one member of the replicated log. It stores the member's votes, its log entries and the latest snapshot.
+// docs/REPLICATED-LOG.md, "Storage", describes the file format and what happens on each kind of damage.
 
 #pragma once
 
@@ -20,45 +19,47 @@
 namespace Storage
 {
 
-/** What the folder held at the start. */
+/** The state that was read from the folder at the start. */
 struct RecoveredState {
-    /** Made when the folder was first used; never empty. */
+    /** Random identifier of the folder, created when it was first used; never empty. */
     std::string storageId;
     std::int64_t term{0};
-    /** Empty when no vote was given in this term. */
+    /** Storage id of the candidate that got this member's vote in the term, or empty when it has not voted. */
     std::string votedFor;
     std::optional<Protocol::StoredSnapshot> snapshot;
-    /** Invariant: consecutive, the first one follows the snapshot. */
+    /** Invariant: the indices are consecutive, and the first one follows the snapshot. */
     std::vector<Protocol::LogEntry> entries;
-    /** Bytes of an unfinished last write that were cut off. */
+    /** Number of bytes of a torn last batch, which were truncated from the log file. */
     std::uint64_t tornBytes{0};
 };
 
-/** Appends in batches. Once a write or sync has failed, the log refuses everything until the folder is read again by a new process. */
+/** Appends records in batches. After a failed write or sync, all further writes fail until a new process has read the folder again. */
 class WriteAheadLog
 {
 public:
-    /** Reads the folder. Fails with Corruption when stored bytes changed, and with Storage when they can't be read. */
+    /** Recovers the state from the folder. Fails with Corruption when stored bytes have changed, and with Storage when they can't be read. */
     [[nodiscard]] static Core::Result<std::unique_ptr<WriteAheadLog>> create(Folder &folder);
 
-    /** What was found. Valid until take() moves it out. */
+    /** Moves out the recovered state; has to be called once only. */
     [[nodiscard]] RecoveredState takeRecoveredState();
 
-    /** Queue records; nothing is on disk before flush(). */
-    void putEntry(const Protocol::LogEntry &entry);
-    void putTruncation(std::int64_t fromIndex);
-    void putVote(std::int64_t term, const std::string &votedFor);
+    /** Queues a log entry. As with the other queued records, nothing is on disk before flush(). */
+    void queueEntry(const Protocol::LogEntry &entry);
+    /** Queues the removal of all entries from an index on. */
+    void queueTruncation(std::int64_t fromIndex);
+    /** Queues the current term and the vote given in it. */
+    void queueVote(std::int64_t term, const std::string &votedFor);
 
-    [[nodiscard]] bool hasUnflushed() const;
+    [[nodiscard]] bool hasUnflushedRecords() const;
 
     /** Writes all queued records as one batch and syncs it once. */
     [[nodiscard]] Core::Result<void> flush();
 
-    /** Replaces everything by a snapshot, the vote and the entries that follow the snapshot. */
+    /** Replaces all files by new ones with a snapshot, the vote and the entries that follow the snapshot. Queued records are discarded. */
     [[nodiscard]] Core::Result<void> compact(
         const Protocol::StoredSnapshot &snapshot, std::int64_t term, const std::string &votedFor, const std::vector<Protocol::LogEntry> &entries);
 
-    /** Empty while the storage is trusted. */
+    /** The error of the write or sync that failed, or empty. */
     [[nodiscard]] const std::string &failureMessage() const;
 
     [[nodiscard]] std::uint64_t syncCount() const;
@@ -67,7 +68,7 @@
 private:
     explicit WriteAheadLog(Folder &folder);
     [[nodiscard]] Core::Result<void> recover();
-    [[nodiscard]] Core::Result<void> startNewFolder();
+    [[nodiscard]] Core::Result<void> initializeFolder();
     [[nodiscard]] Core::Result<void> readSnapshot(const std::string &name);
     [[nodiscard]] Core::Result<void> readLog(const std::string &name);
     [[nodiscard]] Core::Result<void> replayBatch(std::string_view batch);
@@ -75,13 +76,15 @@
     [[nodiscard]] Core::Result<void> replayEntry(const Protocol::LogEntry &entry);
     [[nodiscard]] Core::Result<void> removeOldGenerations(const std::vector<std::string> &names);
     void queueRecord(const Protocol::StorageRecord &record);
-    [[nodiscard]] Core::Result<void> remember(Core::Result<void> outcome);
+    // Keeps the error of a failed outcome, which makes all later writes fail, and returns the outcome.
+    [[nodiscard]] Core::Result<void> recordFailure(Core::Result<void> outcome);
 
     Folder &folder;
     RecoveredState recovered;
+    // Number in the names of the current log and snapshot files. A compaction starts the next generation.
     // Invariant: the snapshot and log files of this generation belong together.
     std::uint64_t generation{0};
-    std::string queued;
+    std::string queuedRecords;
     std::string storageId;
     std::string failure;
     std::uint64_t syncs{0};
--- a/Tests/LibConsensus/TestElectionAfterStart.cpp
+++ b/Tests/LibConsensus/TestElectionAfterStart.cpp
@@ -3,13 +3,12 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// All members of the log are stopped and start again at the same moment, as
-// after a loss of power. Nothing can be answered before one of them leads.
+// Elections after all members of the log were stopped and start at the same moment, as after a power loss. No request can be answered before
+// one of them is the leader.
 //
-// The pattern: with timeouts drawn at random the members stood within the same
-// tick in one of several starts, split their votes, and waited out the usual
-// timeout: 1.4 s in which each caller was refused (heat network search, the
-// standard day trouble-3 of the users' bench).
+// Guards against split votes: with random timeouts, in one of several starts the members started an election within the same tick, split their
+// votes, and waited for the usual election timeout. Every caller was refused for 1.4 s (heat network search, the standard day trouble-3 of
+// the users' bench).
 
 #include <Support/FakeControlCluster.h>
 
@@ -21,20 +20,20 @@
 {
 
 constexpr int Seeds = 40;
-// As Services/coordinatord sets them.
-constexpr Core::Duration Turn = Core::milliseconds(100);
-constexpr Core::Duration UsualTimeout = Core::milliseconds(900);
-// One way between the farthest regions that we know of.
-constexpr Core::Duration FarthestWay = Core::milliseconds(12);
-// A turn, the two rounds of an election, and two ticks.
-constexpr Core::Duration FirstTurnElection = Turn + 4 * FarthestWay + Core::milliseconds(110);
+// The values that Services/coordinatord sets.
+constexpr Core::Duration StaggerInterval = Core::milliseconds(100);
+constexpr Core::Duration ElectionTimeout = Core::milliseconds(900);
+// One-way delay between the most distant regions known.
+constexpr Core::Duration MaximumDelay = Core::milliseconds(12);
+// One stagger interval, the two round trips of an election (pre-vote and vote), and two ticks.
+constexpr Core::Duration FirstElectionTime = StaggerInterval + 4 * MaximumDelay + Core::milliseconds(110);
 
 Control::ControlNodeOptions options()
 {
     Control::ControlNodeOptions options;
     options.log.heartbeatPeriod = Core::milliseconds(200);
-    options.log.electionTimeout = UsualTimeout;
-    options.log.initialElectionStagger = Turn;
+    options.log.electionTimeout = ElectionTimeout;
+    options.log.initialElectionStagger = StaggerInterval;
     return options;
 }
 
@@ -45,7 +44,7 @@
     }
 }
 
-bool anyLeads(FakeControlCluster &cluster)
+bool anyNodeLeads(FakeControlCluster &cluster)
 {
     for (std::size_t index = 0; index < cluster.count(); ++index) {
         auto *node = cluster.node(index);
@@ -56,7 +55,7 @@
     return false;
 }
 
-void startAllBut(FakeControlCluster &cluster, std::size_t absent)
+void startAllExcept(FakeControlCluster &cluster, std::size_t absent)
 {
     for (std::size_t index = 0; index < cluster.count(); ++index) {
         if (index != absent) {
@@ -65,11 +64,11 @@
     }
 }
 
-/** A log with a leader whose members have all been stopped. */
+/** A cluster that has elected a leader and whose members have then all been stopped. */
 std::unique_ptr<FakeControlCluster> makeStoppedCluster(std::size_t members, std::uint64_t seed)
 {
     auto cluster = std::make_unique<FakeControlCluster>(members, seed, options());
-    cluster->faults.longestDelay = FarthestWay;
+    cluster->faults.longestDelay = MaximumDelay;
     cluster->bootstrap(members);
     cr_assert(cluster->awaitLeader().has_value(), "seed %d", static_cast<int>(seed));
     stopAll(*cluster);
@@ -78,33 +77,33 @@
 
 }
 
-Test(ElectionAfterStart, membersThatStartTogetherDoNotSplitTheirVotes)
+Test(ElectionAfterStart, simultaneousStartElectsALeaderWithoutSplitVotes)
 {
     for (int seed = 1; seed <= Seeds; ++seed) {
         for (const std::size_t members : {std::size_t(3), std::size_t(5)}) {
             const auto cluster = makeStoppedCluster(members, static_cast<std::uint64_t>(seed));
-            startAllBut(*cluster, members);
-            cluster->run(FirstTurnElection);
-            cr_assert(anyLeads(*cluster), "no leader among %d members in the first turn, seed %d", static_cast<int>(members), seed);
+            startAllExcept(*cluster, members);
+            cluster->run(FirstElectionTime);
+            cr_assert(anyNodeLeads(*cluster), "no leader among %d members in the first stagger interval, seed %d", static_cast<int>(members), seed);
         }
     }
 }
 
-Test(ElectionAfterStart, nextInTurnStandsWhenTheFirstIsAbsent)
+Test(ElectionAfterStart, secondVoterIsElectedWhenTheFirstIsDown)
 {
     for (int seed = 1; seed <= Seeds; ++seed) {
         const auto cluster = makeStoppedCluster(3, static_cast<std::uint64_t>(seed));
-        startAllBut(*cluster, 0);
-        cluster->run(Turn + FirstTurnElection);
-        cr_assert(anyLeads(*cluster), "no leader in the second turn, seed %d", seed);
+        startAllExcept(*cluster, 0);
+        cluster->run(StaggerInterval + FirstElectionTime);
+        cr_assert(anyNodeLeads(*cluster), "no leader in the second stagger interval, seed %d", seed);
     }
 }
 
-Test(ElectionAfterStart, memberThatStartsAloneDoesNotUnseatTheLeader)
+Test(ElectionAfterStart, restartedFollowerDoesNotDisplaceTheLeader)
 {
     for (int seed = 1; seed <= Seeds; ++seed) {
         FakeControlCluster cluster(3, static_cast<std::uint64_t>(seed), options());
-        cluster.faults.longestDelay = FarthestWay;
+        cluster.faults.longestDelay = MaximumDelay;
         cluster.bootstrap(3);
         const auto leader = cluster.awaitLeader();
         cr_assert(leader.has_value(), "seed %d", seed);
--- a/Tests/LibConsensus/TestLateVotes.cpp
+++ b/Tests/LibConsensus/TestLateVotes.cpp
@@ -3,9 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Answers of voters that come late, when the member that asked has heard from a
-// leader meanwhile and asks anew. What a voter said before that leader was heard
-// of says nothing of now, and a pre-vote that counts it unseats a sound leader.
+// Delayed replies to a pre-vote. They arrive after the requesting member has received a heartbeat from a leader and has started another
+// pre-vote. Such a reply was given before the leader was known; a member that counted it could displace a healthy leader.
 
 #include <LibConsensus/ReplicatedLog.h>
 #include <Support/FakeFolder.h>
@@ -19,11 +18,11 @@
 namespace
 {
 
-/** One member of a log of three; a test plays the other two. */
-class LoneMember
+/** One member of a log of three. The test takes the part of the other two. */
+class SingleMember
 {
 public:
-    LoneMember() : writeAheadLog(Storage::WriteAheadLog::create(this->folder).value())
+    SingleMember() : writeAheadLog(Storage::WriteAheadLog::create(this->folder).value())
     {
         Consensus::ReplicatedLogOptions options;
         options.identity.name = "own";
@@ -32,7 +31,7 @@
         Consensus::ReplicatedLogHooks hooks;
         hooks.send = [this](const Protocol::Member &receiver, LogMessage message) {
             if (receiver.name == "voter") {
-                this->toVoter.push_back(std::move(message));
+                this->sentToVoter.push_back(std::move(message));
             }
         };
         hooks.apply = [](const Protocol::LogEntry &) {
@@ -59,23 +58,23 @@
         cr_assert(this->log->bootstrap(membership).has_value());
     }
 
-    /** Lets its election timeout pass without a word from a leader. Returns what it asks the voter. */
-    LogMessage standsAndAsks()
+    /** Lets the election timeout pass without a message from a leader. Returns the pre-vote request that the member sends to the voter. */
+    LogMessage startPreVote()
     {
-        this->toVoter.clear();
+        this->sentToVoter.clear();
         this->time.advance(2 * Timeout);
         this->log->tick(this->time.now());
-        cr_assert_eq(this->toVoter.size(), 1);
-        cr_assert_eq(this->toVoter.back().kind, MessageKind::PRE_VOTE_REQUEST);
-        return this->toVoter.back();
+        cr_assert_eq(this->sentToVoter.size(), 1);
+        cr_assert_eq(this->sentToVoter.back().kind, MessageKind::PRE_VOTE_REQUEST);
+        return this->sentToVoter.back();
     }
 
-    /** The voter's yes to a question. */
-    [[nodiscard]] LogMessage yesTo(const LogMessage &question) const
+    /** The voter's reply that grants a pre-vote request. */
+    [[nodiscard]] LogMessage grantReply(const LogMessage &preVoteRequest) const
     {
         LogMessage reply = this->messageFrom("voter", MessageKind::PRE_VOTE_REPLY);
-        reply.term = question.term;
-        reply.round = question.round;
+        reply.term = preVoteRequest.term;
+        reply.round = preVoteRequest.round;
         reply.granted = true;
         return reply;
     }
@@ -85,7 +84,7 @@
         this->log->receive(message, this->time.now());
     }
 
-    void hearsLeader()
+    void receiveHeartbeat()
     {
         LogMessage heartbeat = this->messageFrom("leader", MessageKind::APPEND_REQUEST);
         heartbeat.term = this->log->term();
@@ -100,7 +99,7 @@
     TestSupport::FakeFolder folder;
     std::unique_ptr<Storage::WriteAheadLog> writeAheadLog;
     std::unique_ptr<Consensus::ReplicatedLog> log;
-    std::vector<LogMessage> toVoter;
+    std::vector<LogMessage> sentToVoter;
 
 private:
     [[nodiscard]] LogMessage messageFrom(const std::string &name, MessageKind::type kind) const
@@ -116,25 +115,25 @@
 
 }
 
-Test(LateVotes, anAnswerToThePreVoteUnderWayCounts)
+Test(LateVotes, replyToTheCurrentPreVoteIsCounted)
 {
-    LoneMember member;
-    const auto question = member.standsAndAsks();
-    member.receive(member.yesTo(question));
+    SingleMember member;
+    const auto preVoteRequest = member.startPreVote();
+    member.receive(member.grantReply(preVoteRequest));
     cr_assert_eq(member.log->role(), Consensus::Role::Candidate);
 }
 
-Test(LateVotes, anAnswerToAnEarlierPreVoteCountsForNothing)
+Test(LateVotes, replyToAnEarlierPreVoteIsIgnored)
 {
-    LoneMember member;
-    const auto earlier = member.standsAndAsks();
-    member.hearsLeader();
+    SingleMember member;
+    const auto earlierRequest = member.startPreVote();
+    member.receiveHeartbeat();
     const auto term = member.log->term();
-    (void)member.standsAndAsks();
-    member.receive(member.yesTo(earlier));
+    (void)member.startPreVote();
+    member.receive(member.grantReply(earlierRequest));
     cr_assert_eq(member.log->role(),
         Consensus::Role::PreCandidate,
-        "the voter has not answered this pre-vote, but the member is %s",
+        "the voter has not replied to this pre-vote, but the member is %s",
         Consensus::roleName(member.log->role()));
     cr_assert_eq(member.log->term(), term);
 }
--- a/Tests/LibConsensus/TestReadIndex.cpp
+++ b/Tests/LibConsensus/TestReadIndex.cpp
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Reads that any member confirms. The load pattern: hundreds of gateways start
-// at the same moment, and none of them may answer before what it holds was
-// confirmed. When only the leader could confirm, those in other regions queued
-// at its door for eight seconds (300 gateways, print bureau, loss of power).
+// Reads that any member confirms by a read index request to the leader.
+//
+// Guards against a queue at the leader: hundreds of gateways start at the same moment, and none of them may answer before its configuration
+// is confirmed. When only the leader could confirm reads, gateways in other regions waited for eight seconds (300 gateways, print bureau,
+// power loss).
 
 #include <LibConsensus/ReplicatedLog.h>
 #include <Support/FakeFolder.h>
@@ -24,7 +25,7 @@
 constexpr std::size_t Members = 3;
 constexpr Core::Duration Step = Core::milliseconds(10);
 
-/** Members of one log whose messages a test holds back and passes on. */
+/** Members of one log. The test chooses which of their messages are delivered. */
 class LogGroup
 {
 public:
@@ -69,8 +70,8 @@
         this->logs[index] = ReplicatedLog::create(options, std::move(hooks), *this->writeAheadLogs[index], this->time.now()).value();
     }
 
-    /** Moves on, one round of messages each step. `passes` says which messages arrive. */
-    void run(int steps, const std::function<bool(std::size_t from, std::size_t to, const Protocol::LogMessage &message)> &passes = everything)
+    /** Advances the time by some steps, with one round of messages in each. `delivers` decides which messages arrive. */
+    void run(int steps, const std::function<bool(std::size_t from, std::size_t to, const Protocol::LogMessage &message)> &delivers = deliverAll)
     {
         for (int step = 0; step < steps; ++step) {
             this->time.advance(Step);
@@ -78,7 +79,7 @@
                 this->logs[index]->flush(this->time.now());
             }
             for (auto &packet : std::exchange(this->messages, {})) {
-                if (passes(packet.from, packet.to, packet.message)) {
+                if (delivers(packet.from, packet.to, packet.message)) {
                     this->logs[packet.to]->receive(packet.message, this->time.now());
                 }
             }
@@ -108,7 +109,7 @@
         this->flushes.insert(leader);
     }
 
-    static bool everything(std::size_t, std::size_t, const Protocol::LogMessage &)
+    static bool deliverAll(std::size_t, std::size_t, const Protocol::LogMessage &)
     {
         return true;
     }
@@ -129,20 +130,20 @@
     std::uint64_t seed{0};
 };
 
-/** How a read at a member ended. */
+/** A read at a member and its outcome, which has no value until the read has ended. */
 struct Read {
     explicit Read(LogGroup &group, std::size_t member)
     {
         group.logs[member]->confirmCurrent([this](bool confirmed) {
-            this->end = confirmed;
+            this->outcome = confirmed;
         });
     }
-    std::optional<bool> end;
+    std::optional<bool> outcome;
 };
 
 }
 
-Test(ReadIndex, everyMemberConfirmsWithOneQuestionForAllItsReaders)
+Test(ReadIndex, followerConfirmsAllWaitingReadsWithOneRequest)
 {
     LogGroup group;
     const auto leader = group.awaitLeader();
@@ -151,81 +152,81 @@
     for (int reader = 0; reader < 100; ++reader) {
         reads.push_back(std::make_unique<Read>(group, follower));
     }
-    int questions = 0;
-    group.run(10, [&questions](std::size_t, std::size_t, const Protocol::LogMessage &message) {
-        questions += message.kind == MessageKind::READ_INDEX_REQUEST ? 1 : 0;
+    int requestCount = 0;
+    group.run(10, [&requestCount](std::size_t, std::size_t, const Protocol::LogMessage &message) {
+        requestCount += message.kind == MessageKind::READ_INDEX_REQUEST ? 1 : 0;
         return true;
     });
-    cr_assert_eq(questions, 1);
+    cr_assert_eq(requestCount, 1);
     for (const auto &read : reads) {
-        cr_assert(read->end == true);
+        cr_assert(read->outcome == true);
     }
 }
 
-Test(ReadIndex, aFollowerConfirmsOnlyOnceItHasAppliedWhatWasCommitted)
+Test(ReadIndex, followerConfirmsAReadAfterApplyingTheCommittedEntries)
 {
     LogGroup group;
     const auto leader = group.awaitLeader();
     const auto follower = (leader + 1) % Members;
-    const auto withoutEntries = [&](std::size_t, std::size_t to, const Protocol::LogMessage &message) {
+    const auto dropAppendsToFollower = [&](std::size_t, std::size_t to, const Protocol::LogMessage &message) {
         return to != follower || message.kind != MessageKind::APPEND_REQUEST;
     };
     group.propose(leader, "x");
-    group.run(5, withoutEntries);
+    group.run(5, dropAppendsToFollower);
     cr_assert(group.applied[leader] == "x" && group.applied[follower].empty());
     const Read read(group, follower);
-    group.run(5, withoutEntries);
-    cr_assert_not(read.end.has_value());
+    group.run(5, dropAppendsToFollower);
+    cr_assert_not(read.outcome.has_value());
     group.run(60);
-    cr_assert(read.end == true);
+    cr_assert(read.outcome == true);
     cr_assert_str_eq(group.applied[follower].c_str(), "x");
 }
 
-Test(ReadIndex, aLeaderThatWasCutOffConfirmsNothingForAFollowerThatFollowedIt)
+Test(ReadIndex, isolatedLeaderDoesNotConfirmAReadOfItsFollower)
 {
     LogGroup group;
     const auto leader = group.awaitLeader();
     const auto follower = (leader + 1) % Members;
     const Read read(group, follower);
-    // The follower's question arrives, but the leader hears no voter afterwards.
+    // The follower's read index request arrives, but the leader receives no replies from voters afterwards.
     group.run(200, [&](std::size_t, std::size_t to, const Protocol::LogMessage &message) {
         return to != leader || message.kind == MessageKind::READ_INDEX_REQUEST;
     });
-    cr_assert(read.end == false);
+    cr_assert(read.outcome == false);
 }
 
-Test(ReadIndex, anAnswerToAnEarlierLifeCountsForNothing)
+Test(ReadIndex, replyToAnEarlierIncarnationIsIgnored)
 {
     LogGroup group;
     const auto leader = group.awaitLeader();
     const auto follower = (leader + 1) % Members;
-    std::vector<Protocol::LogMessage> answers;
-    const auto holdAnswers = [&](std::size_t, std::size_t, const Protocol::LogMessage &message) {
+    std::vector<Protocol::LogMessage> heldReplies;
+    const auto holdReplies = [&](std::size_t, std::size_t, const Protocol::LogMessage &message) {
         if (message.kind == MessageKind::READ_INDEX_REPLY) {
-            answers.push_back(message);
+            heldReplies.push_back(message);
             return false;
         }
         return true;
     };
-    const Read before(group, follower);
-    group.run(10, holdAnswers);
-    cr_assert_eq(answers.size(), 1);
+    const Read readBeforeRestart(group, follower);
+    group.run(10, holdReplies);
+    cr_assert_eq(heldReplies.size(), 1);
     group.start(follower);
-    group.run(60, holdAnswers);
-    const auto toOthers = [&](std::size_t from, std::size_t to, const Protocol::LogMessage &message) {
-        return holdAnswers(from, to, message) && (to != follower || message.kind != MessageKind::APPEND_REQUEST);
+    group.run(60, holdReplies);
+    const auto holdRepliesAndDropAppends = [&](std::size_t from, std::size_t to, const Protocol::LogMessage &message) {
+        return holdReplies(from, to, message) && (to != follower || message.kind != MessageKind::APPEND_REQUEST);
     };
     group.propose(leader, "x");
-    group.run(5, toOthers);
-    const Read after(group, follower);
-    group.run(5, toOthers);
-    group.logs[follower]->receive(answers.front(), group.time.now());
-    cr_assert_neq(after.end, true, "x is committed and not here (%d)", after.end.has_value() ? 1 : 0);
+    group.run(5, holdRepliesAndDropAppends);
+    const Read readAfterRestart(group, follower);
+    group.run(5, holdRepliesAndDropAppends);
+    group.logs[follower]->receive(heldReplies.front(), group.time.now());
+    cr_assert_neq(readAfterRestart.outcome, true, "x is committed but not applied on this member (%d)", readAfterRestart.outcome.has_value() ? 1 : 0);
 }
 
-Test(ReadIndex, failsAtOnceWithoutALeader)
+Test(ReadIndex, failsImmediatelyWithoutAKnownLeader)
 {
     LogGroup group;
     const Read read(group, 0);
-    cr_assert(read.end == false);
+    cr_assert(read.outcome == false);
 }
--- a/Tests/LibConsensus/TestReadIndexRequests.cpp
+++ b/Tests/LibConsensus/TestReadIndexRequests.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which readers of a follower are confirmed by which answer of the leader.
+// Tests which readers of a follower are confirmed by which reply of the leader.
 
 #include <LibConsensus/ReadIndexRequests.h>
 
@@ -16,104 +16,104 @@
 
 constexpr std::int64_t FirstNumber = 700;
 
-/** Notes how each reader ended, in the order of the ends. */
+/** Records the outcome of each reader, in the order in which they end: its name with + for confirmed and - for failed. */
 class Readers
 {
 public:
-    ReadIndexRequests::ConfirmHook make(const std::string &name)
+    ReadIndexRequests::ConfirmHook makeHook(const std::string &name)
     {
         return [this, name](bool confirmed) {
-            this->ends.push_back(name + (confirmed ? "+" : "-"));
+            this->outcomes.push_back(name + (confirmed ? "+" : "-"));
         };
     }
 
-    std::vector<std::string> ends;
+    std::vector<std::string> outcomes;
 };
 
 }
 
-Test(ReadIndexRequests, oneQuestionStandsForAllThatWaited)
+Test(ReadIndexRequests, oneRequestCoversAllWaitingReaders)
 {
-    ReadIndexRequests questions(FirstNumber);
+    ReadIndexRequests requests(FirstNumber);
     Readers readers;
-    questions.add(readers.make("a"));
-    questions.add(readers.make("b"));
-    cr_assert(questions.isRequestDue());
-    const auto number = questions.nextReadIndexRequest(Core::Instant());
-    cr_assert_not(questions.isRequestDue());
-    questions.handleAnswer(number, 5);
-    questions.finish(5);
-    cr_assert(readers.ends == (std::vector<std::string>{"a+", "b+"}));
+    requests.add(readers.makeHook("a"));
+    requests.add(readers.makeHook("b"));
+    cr_assert(requests.isRequestDue());
+    const auto number = requests.startRequest(Core::Instant());
+    cr_assert_not(requests.isRequestDue());
+    requests.handleReply(number, 5);
+    requests.confirmUpTo(5);
+    cr_assert(readers.outcomes == (std::vector<std::string>{"a+", "b+"}));
 }
 
-Test(ReadIndexRequests, anAnswerSaysNothingOfLaterReaders)
+Test(ReadIndexRequests, replyDoesNotConfirmReadersAddedAfterItsRequest)
 {
-    ReadIndexRequests questions(FirstNumber);
+    ReadIndexRequests requests(FirstNumber);
     Readers readers;
-    questions.add(readers.make("a"));
-    const auto first = questions.nextReadIndexRequest(Core::Instant());
-    questions.add(readers.make("b"));
-    questions.handleAnswer(first, 5);
-    questions.finish(9);
-    cr_assert(readers.ends == (std::vector<std::string>{"a+"}), "b came after the question had left");
-    const auto second = questions.nextReadIndexRequest(Core::Instant());
-    questions.handleAnswer(first, 5);
-    questions.finish(9);
-    cr_assert(readers.ends.size() == 1, "the first answer came twice");
-    questions.handleAnswer(second, 6);
-    questions.finish(9);
-    cr_assert(readers.ends.back() == "b+");
+    requests.add(readers.makeHook("a"));
+    const auto first = requests.startRequest(Core::Instant());
+    requests.add(readers.makeHook("b"));
+    requests.handleReply(first, 5);
+    requests.confirmUpTo(9);
+    cr_assert(readers.outcomes == (std::vector<std::string>{"a+"}), "b was added after the request was sent");
+    const auto second = requests.startRequest(Core::Instant());
+    requests.handleReply(first, 5);
+    requests.confirmUpTo(9);
+    cr_assert(readers.outcomes.size() == 1, "the first reply was received twice");
+    requests.handleReply(second, 6);
+    requests.confirmUpTo(9);
+    cr_assert(readers.outcomes.back() == "b+");
 }
 
-Test(ReadIndexRequests, takesNoAnswerToWhatItHasNotAsked)
+Test(ReadIndexRequests, ignoresRepliesToUnknownRequestNumbers)
 {
-    for (const auto strange : {FirstNumber - 1, FirstNumber, FirstNumber + 2}) {
-        ReadIndexRequests questions(FirstNumber);
+    for (const auto unknownNumber : {FirstNumber - 1, FirstNumber, FirstNumber + 2}) {
+        ReadIndexRequests requests(FirstNumber);
         Readers readers;
-        questions.add(readers.make("a"));
-        (void)questions.nextReadIndexRequest(Core::Instant());
-        questions.handleAnswer(strange, 5);
-        questions.finish(5);
-        cr_assert(readers.ends.empty());
+        requests.add(readers.makeHook("a"));
+        (void)requests.startRequest(Core::Instant());
+        requests.handleReply(unknownNumber, 5);
+        requests.confirmUpTo(5);
+        cr_assert(readers.outcomes.empty());
     }
 }
 
-Test(ReadIndexRequests, waitsUntilSoMuchIsApplied)
+Test(ReadIndexRequests, confirmsOnceTheReadIndexIsCommittedLocally)
 {
-    ReadIndexRequests questions(FirstNumber);
+    ReadIndexRequests requests(FirstNumber);
     Readers readers;
-    questions.add(readers.make("a"));
-    questions.handleAnswer(questions.nextReadIndexRequest(Core::Instant()), 5);
-    questions.finish(4);
-    cr_assert(readers.ends.empty());
-    questions.finish(5);
-    cr_assert(readers.ends == (std::vector<std::string>{"a+"}));
+    requests.add(readers.makeHook("a"));
+    requests.handleReply(requests.startRequest(Core::Instant()), 5);
+    requests.confirmUpTo(4);
+    cr_assert(readers.outcomes.empty());
+    requests.confirmUpTo(5);
+    cr_assert(readers.outcomes == (std::vector<std::string>{"a+"}));
 }
 
-Test(ReadIndexRequests, failsWhatHasNoAnswerInTime)
+Test(ReadIndexRequests, failsReadersWhoseRequestTimedOut)
 {
-    ReadIndexRequests questions(FirstNumber);
+    ReadIndexRequests requests(FirstNumber);
     Readers readers;
     const Core::Instant start;
-    questions.add(readers.make("early"));
-    (void)questions.nextReadIndexRequest(start);
-    questions.add(readers.make("late"));
-    (void)questions.nextReadIndexRequest(start + Core::milliseconds(500));
-    questions.add(readers.make("unasked"));
-    questions.failAskedBefore(start + Core::milliseconds(100));
-    cr_assert(readers.ends == (std::vector<std::string>{"early-"}));
-    questions.failAll();
-    cr_assert(readers.ends == (std::vector<std::string>{"early-", "late-", "unasked-"}));
+    requests.add(readers.makeHook("early"));
+    (void)requests.startRequest(start);
+    requests.add(readers.makeHook("late"));
+    (void)requests.startRequest(start + Core::milliseconds(500));
+    requests.add(readers.makeHook("unasked"));
+    requests.failSentBefore(start + Core::milliseconds(100));
+    cr_assert(readers.outcomes == (std::vector<std::string>{"early-"}));
+    requests.failAll();
+    cr_assert(readers.outcomes == (std::vector<std::string>{"early-", "late-", "unasked-"}));
 }
 
-Test(ReadIndexRequests, aHookMayBringAnotherReader)
+Test(ReadIndexRequests, hookMayAddAnotherReader)
 {
-    ReadIndexRequests questions(FirstNumber);
+    ReadIndexRequests requests(FirstNumber);
     Readers readers;
-    questions.add([&](bool) {
-        questions.add(readers.make("next"));
+    requests.add([&](bool) {
+        requests.add(readers.makeHook("next"));
     });
-    questions.failAll();
-    cr_assert(questions.isRequestDue());
-    cr_assert(readers.ends.empty());
+    requests.failAll();
+    cr_assert(requests.isRequestDue());
+    cr_assert(readers.outcomes.empty());
 }
--- a/Tests/LibControl/TestControlRandomized.cpp
+++ b/Tests/LibControl/TestControlRandomized.cpp
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Seeded randomized runs of the real control code on fake network, disk and
-// clock. Promises are checked after every step; the seed stands in each failure.
+// Seeded randomized runs of the control code on a fake network, disk and clock. The invariants are checked after every step. Each failure
+// message names the seed.
 
 #include <Support/FakeControlCluster.h>
 
@@ -25,13 +25,13 @@
 constexpr std::size_t Entries = 3;
 constexpr int Keys = 12;
 
-/** One entry instance's view of the configuration. */
+/** The configuration as one entry instance knows it. */
 struct EntryView {
     Entry::ActiveConfiguration activeConfiguration;
-    Core::Revision highest{0};
+    Core::Revision highestRevision{0};
 };
 
-/** What happened to one idempotency key, over all attempts. */
+/** The history of one idempotency key over all attempts. */
 struct KeyHistory {
     std::string key;
     int executions{0};
@@ -39,11 +39,11 @@
     bool outcomeAnswered{false};
 };
 
-/** Drives a cluster with clients and faults, and checks what they are promised. */
-class Run
+/** Runs a cluster with client requests and faults, and checks the invariants that clients rely on. */
+class SimulationRun
 {
 public:
-    explicit Run(std::uint64_t seed) : seed(seed), cluster(Instances, seed, options()), entries(Entries)
+    explicit SimulationRun(std::uint64_t seed) : seed(seed), cluster(Instances, seed, options()), entries(Entries)
     {
         this->cluster.bootstrap(Voters);
         for (int index = 0; index < Keys; ++index) {
@@ -51,16 +51,16 @@
         }
     }
 
-    void play(int steps)
+    void execute(int steps)
     {
         for (int step = 0; step < steps; ++step) {
-            this->faultStep();
-            this->clientStep();
+            this->injectFault();
+            this->sendClientRequest();
             this->cluster.run(Core::milliseconds(10 + this->cluster.random() % 60));
             this->checkStates();
             this->checkFreshness();
         }
-        this->settleDown();
+        this->checkRecovery();
     }
 
 private:
@@ -76,17 +76,17 @@
         return base;
     }
 
-    std::size_t pick(std::size_t count)
+    std::size_t randomBelow(std::size_t count)
     {
         return this->cluster.random() % count;
     }
 
     // ---- Faults
 
-    void faultStep()
+    void injectFault()
     {
-        const auto index = this->pick(Instances);
-        switch (this->pick(24)) {
+        const auto index = this->randomBelow(Instances);
+        switch (this->randomBelow(24)) {
         case 0:
             this->cluster.crash(index);
             break;
@@ -106,7 +106,7 @@
             this->cluster.partition({index});
             break;
         case 8:
-            this->cluster.cutOneWay(index, this->pick(Instances));
+            this->cluster.cutOneWay(index, this->randomBelow(Instances));
             break;
         case 9:
         case 10:
@@ -119,7 +119,7 @@
             this->cluster.faults = {};
             break;
         case 13:
-            this->cluster.folder(index).failAfter(static_cast<int>(this->pick(6)));
+            this->cluster.folder(index).failAfter(static_cast<int>(this->randomBelow(6)));
             break;
         case 14:
             this->crashIfFailed();
@@ -147,54 +147,54 @@
             }
             const auto started = this->cluster.restart(index);
             const bool corrupt = !started.has_value() && started.error().kind == Core::ErrorKind::Corruption;
-            cr_assert(!corrupt, "seed %lu: a crash looks like corruption: %s", this->seed, corrupt ? started.error().message.c_str() : "");
+            cr_assert(!corrupt, "seed %lu: the state after a crash is taken for corruption: %s", this->seed, corrupt ? started.error().message.c_str() : "");
         }
     }
 
     // ---- Clients
 
-    void clientStep()
+    void sendClientRequest()
     {
-        auto *node = this->cluster.node(this->pick(Instances));
+        auto *node = this->cluster.node(this->randomBelow(Instances));
         if (node == nullptr) {
             return;
         }
-        switch (this->pick(4)) {
+        switch (this->randomBelow(4)) {
         case 0:
-            this->applySomething(*node);
+            this->submitChange(*node);
             break;
         case 1:
-            this->follow(*node, this->entries[this->pick(Entries)]);
+            this->follow(*node, this->entries[this->randomBelow(Entries)]);
             break;
         default:
-            this->claimSomething(*node, this->keys[this->pick(Keys)]);
+            this->submitClaim(*node, this->keys[this->randomBelow(Keys)]);
             break;
         }
     }
 
-    void applySomething(Control::ControlNode &node)
+    void submitChange(Control::ControlNode &node)
     {
         Protocol::ApplyRequest request;
-        const bool resend = !this->sentChanges.empty() && this->pick(3) == 0;
+        const bool resend = !this->sentChanges.empty() && this->randomBelow(3) == 0;
         if (resend) {
-            request = this->sentChanges[this->pick(this->sentChanges.size())];
+            request = this->sentChanges[this->randomBelow(this->sentChanges.size())];
         } else {
             request.changeId = "change-" + std::to_string(this->nextChange++);
             request.baseRevision = node.controlState().revision();
-            request.configuration.maximumEntryInstances = static_cast<std::int32_t>(1 + this->pick(1000));
+            request.configuration.maximumEntryInstances = static_cast<std::int32_t>(1 + this->randomBelow(1000));
             this->sentChanges.push_back(request);
         }
         node.applyChange(request, [this, request](const Protocol::ApplyOutcome &outcome) {
             if (outcome.status == Protocol::ApplyStatus::ACCEPTED) {
-                this->noteAccepted(request, outcome.revision);
+                this->recordAccepted(request, outcome.revision);
             }
         });
     }
 
-    void noteAccepted(const Protocol::ApplyRequest &request, std::int64_t revision)
+    void recordAccepted(const Protocol::ApplyRequest &request, std::int64_t revision)
     {
         const auto [known, isNew] = this->accepted.try_emplace(revision, request);
-        cr_assert_eq(known->second.changeId, request.changeId, "seed %lu: two changes won revision %ld", this->seed, revision);
+        cr_assert_eq(known->second.changeId, request.changeId, "seed %lu: two changes were accepted as revision %ld", this->seed, revision);
         if (isNew) {
             this->acceptedAt[revision] = this->cluster.time.now();
         }
@@ -211,7 +211,7 @@
         });
     }
 
-    void claimSomething(Control::ControlNode &node, KeyHistory &history)
+    void submitClaim(Control::ControlNode &node, KeyHistory &history)
     {
         Protocol::ClaimRequest request;
         request.key = history.key;
@@ -223,35 +223,35 @@
                 cr_assert_eq(history.executions, 1, "seed %lu: a completed key ran %d times", this->seed, history.executions);
             }
             if (reply.status == Protocol::ClaimStatus::GRANTED) {
-                this->useGrant(history, request);
+                this->executeGrantedClaim(history, request);
             }
         });
     }
 
-    // Does what an entry instance does with a grant: runs the action or proves that it did not run.
-    void useGrant(KeyHistory &history, const Protocol::ClaimRequest &request)
+    // Acts as an entry instance whose claim was granted: runs the action, or releases the claim since the action did not run.
+    void executeGrantedClaim(KeyHistory &history, const Protocol::ClaimRequest &request)
     {
         Protocol::SettleRequest settle;
         settle.key = request.key;
         settle.attemptId = request.attemptId;
-        const auto course = this->pick(4);
-        if (course == 0) {
-            this->settleEverywhere(settle);
+        const auto behaviour = this->randomBelow(4);
+        if (behaviour == 0) {
+            this->settleOnAllNodes(settle);
             return;
         }
         ++history.executions;
         cr_assert_eq(history.executions, 1, "seed %lu: key %s ran twice", this->seed, history.key.c_str());
-        if (course == 1) {
-            // The entry instance dies before it can record the outcome.
+        if (behaviour == 1) {
+            // The entry instance crashes before it can record the outcome.
             return;
         }
         Protocol::ActionOutcome outcome;
         outcome.statusCode = 200;
         settle.__set_outcome(outcome);
-        this->settleEverywhere(settle);
+        this->settleOnAllNodes(settle);
     }
 
-    void settleEverywhere(const Protocol::SettleRequest &settle)
+    void settleOnAllNodes(const Protocol::SettleRequest &settle)
     {
         for (std::size_t index = 0; index < Instances; ++index) {
             if (auto *node = this->cluster.node(index)) {
@@ -261,9 +261,9 @@
         }
     }
 
-    // ---- Promises
+    // ---- Invariants
 
-    // Two instances that have applied as far are in the same state, at every moment.
+    // Two instances that have applied the same number of entries have the same state.
     void checkStates()
     {
         for (std::size_t index = 0; index < Instances; ++index) {
@@ -277,21 +277,21 @@
         }
     }
 
-    // A configuration that is used is at most one lease behind an accepted one, and never goes back.
+    // An entry instance uses a revision at most one lease after a newer one was accepted, and its revision never decreases.
     void checkFreshness()
     {
         const Core::Instant now = this->cluster.time.now();
         for (auto &entry : this->entries) {
-            cr_assert(entry.activeConfiguration.revision() >= entry.highest, "seed %lu: a revision went back", this->seed);
-            entry.highest = entry.activeConfiguration.revision();
+            cr_assert(entry.activeConfiguration.revision() >= entry.highestRevision, "seed %lu: a revision decreased", this->seed);
+            entry.highestRevision = entry.activeConfiguration.revision();
             const auto next = this->acceptedAt.upper_bound(entry.activeConfiguration.revision().value());
             const bool superseded = next != this->acceptedAt.end() && now - next->second > Lease;
             cr_assert(!(superseded && entry.activeConfiguration.isFresh(now)), "seed %lu: a superseded revision is in use after its lease", this->seed);
         }
     }
 
-    // Once everything works again, everything that was accepted is there.
-    void settleDown()
+    // After all faults have ended, the cluster has a leader, and its history holds all accepted changes.
+    void checkRecovery()
     {
         this->cluster.heal();
         this->cluster.faults = {};
@@ -302,7 +302,7 @@
         this->crashIfFailed();
         this->restartAll();
         const auto leader = this->cluster.awaitLeader();
-        cr_assert(leader.has_value(), "seed %lu: no leader although everything works", this->seed);
+        cr_assert(leader.has_value(), "seed %lu: no leader after all faults have ended", this->seed);
         const auto history = this->cluster.node(leader.value())->history(100'000);
         std::map<std::int64_t, std::string> ids;
         for (const auto &entry : history) {
@@ -330,35 +330,35 @@
 
 }
 
-static void playSeeds(std::uint64_t first, std::uint64_t last)
+static void runSeeds(std::uint64_t first, std::uint64_t last)
 {
-    // A failing seed is played alone with CRANKRUDDER_TEST_SEED=N.
-    const char *chosen = std::getenv("CRANKRUDDER_TEST_SEED");
-    if (chosen != nullptr) {
-        Run(std::strtoull(chosen, nullptr, 10)).play(400);
+    // CRANKRUDDER_TEST_SEED=N runs seed N alone, to reproduce a failure.
+    const char *selectedSeed = std::getenv("CRANKRUDDER_TEST_SEED");
+    if (selectedSeed != nullptr) {
+        SimulationRun(std::strtoull(selectedSeed, nullptr, 10)).execute(400);
         return;
     }
     for (std::uint64_t seed = first; seed <= last; ++seed) {
-        Run(seed).play(400);
+        SimulationRun(seed).execute(400);
     }
 }
 
-Test(ControlRandomized, keepsEveryPromiseForSeeds1To15)
+Test(ControlRandomized, invariantsHoldForSeeds1To15)
 {
-    playSeeds(1, 15);
+    runSeeds(1, 15);
 }
 
-Test(ControlRandomized, keepsEveryPromiseForSeeds16To30)
+Test(ControlRandomized, invariantsHoldForSeeds16To30)
 {
-    playSeeds(16, 30);
+    runSeeds(16, 30);
 }
 
-Test(ControlRandomized, keepsEveryPromiseForSeeds31To45)
+Test(ControlRandomized, invariantsHoldForSeeds31To45)
 {
-    playSeeds(31, 45);
+    runSeeds(31, 45);
 }
 
-Test(ControlRandomized, keepsEveryPromiseForSeeds46To60)
+Test(ControlRandomized, invariantsHoldForSeeds46To60)
 {
-    playSeeds(46, 60);
+    runSeeds(46, 60);
 }
--- a/Tests/LibControl/TestControlState.cpp
+++ b/Tests/LibControl/TestControlState.cpp
@@ -1,3 +1,5 @@
+// Tests of the control state (configuration changes and claims), of configuration deltas and of the repair policy.
+
 #include <LibControl/ConfigurationDelta.h>
 #include <LibControl/ConfigurationRules.h>
 #include <LibControl/ControlState.h>
@@ -78,17 +80,17 @@
 
 // ---- Configuration
 
-Test(ControlState, letsExactlyOneOfTwoRacingOperatorsWin)
+Test(ControlState, acceptsOnlyOneOfTwoChangesWithTheSameBaseRevision)
 {
     ControlState state;
     cr_expect_eq(apply(state, "first", 0, makeConfiguration(8)).status, Protocol::ApplyStatus::ACCEPTED);
     const auto second = apply(state, "second", 0, makeConfiguration(9));
     cr_expect_eq(second.status, Protocol::ApplyStatus::CONFLICT);
     cr_expect_eq(second.revision, 1);
-    cr_expect(!second.differences.empty(), "a conflict says what differs");
+    cr_expect(!second.differences.empty(), "a conflict lists the differences");
 }
 
-Test(ControlState, answersAResentChangeWithItsFirstAnswer)
+Test(ControlState, repeatsTheFirstOutcomeForAResentChange)
 {
     ControlState state;
     cr_expect_eq(apply(state, "first", 0, makeConfiguration(8)).revision, 1);
@@ -100,7 +102,7 @@
     cr_expect_eq(apply(state, "first", 0, makeConfiguration(7)).status, Protocol::ApplyStatus::CHANGE_ID_REUSED);
 }
 
-Test(ControlState, listsAllFaultsAtOnceAndChangesNothing)
+Test(ControlState, reportsAllFaultsAndAppliesNothing)
 {
     ControlState state;
     auto faulty = makeConfiguration(0);
@@ -113,7 +115,7 @@
     cr_expect_eq(state.revision(), 0);
 }
 
-Test(ControlState, rollsBackAsANewRevision)
+Test(ControlState, rollbackCreatesANewRevision)
 {
     ControlState state;
     static_cast<void>(apply(state, "first", 0, makeConfiguration(8)));
@@ -129,7 +131,7 @@
     cr_expect_eq(state.configuration().services[0].shards, 8);
 }
 
-Test(ControlState, isTheSameAfterASnapshotFollowingHundredsOfChanges)
+Test(ControlState, snapshotPreservesStateAfterHundredsOfChanges)
 {
     ControlState state;
     for (std::int32_t revision = 0; revision < 700; ++revision) {
@@ -139,18 +141,18 @@
     cr_assert(restored.restoreSnapshot(state.takeSnapshot()).has_value());
     cr_expect_eq(restored.revision(), 700);
     cr_expect_eq(restored.configuration().services[0].shards, 700);
-    cr_expect_eq(apply(restored, "change-5", 5, makeConfiguration(6)).revision, 6, "an old resent change still gets its answer");
+    cr_expect_eq(apply(restored, "change-5", 5, makeConfiguration(6)).revision, 6, "an old change that is sent again still gets its first outcome");
     cr_expect(restored.configurationAt(690) != nullptr);
-    cr_expect(restored.configurationAt(5) == nullptr, "old contents are let go");
+    cr_expect(restored.configurationAt(5) == nullptr, "old configurations are discarded");
 }
 
-Test(ControlState, refusesBytesThatAreNoSnapshot)
+Test(ControlState, rejectsInvalidSnapshotBytes)
 {
     ControlState state;
     cr_expect(!state.restoreSnapshot("no snapshot at all").has_value());
 }
 
-Test(ConfigurationDelta, leadsFromAnyRevisionToAnother)
+Test(ConfigurationDelta, appliedDeltaYieldsTheTargetConfiguration)
 {
     auto before = makeConfiguration(8);
     auto after = makeConfiguration(9);
@@ -168,12 +170,12 @@
 
 // ---- Claims
 
-Test(ControlState, grantsAKeyOnceWhateverComesAfter)
+Test(ControlState, grantsAKeyToOneAttemptOnly)
 {
     ControlState state;
     const std::string key = keyAt(Start);
     cr_expect_eq(claim(state, key, "one"), Protocol::ClaimStatus::GRANTED);
-    cr_expect_eq(claim(state, key, "one"), Protocol::ClaimStatus::GRANTED, "a lost answer is given again");
+    cr_expect_eq(claim(state, key, "one"), Protocol::ClaimStatus::GRANTED, "the attempt that holds the claim gets the same reply again");
     cr_expect_eq(claim(state, key, "two"), Protocol::ClaimStatus::IN_PROGRESS);
     cr_expect_eq(claim(state, key, "two", Start, "other digest"), Protocol::ClaimStatus::KEY_REUSED);
     cr_expect_eq(claim(state, key, "two", Start + 1001), Protocol::ClaimStatus::OUTCOME_UNKNOWN);
@@ -190,10 +192,10 @@
     cr_expect_eq(claim(state, key, "two"), Protocol::ClaimStatus::IN_PROGRESS);
     cr_expect_eq(settle(state, key, "one", false), Protocol::SettleStatus::SETTLED);
     cr_expect_eq(claim(state, key, "two"), Protocol::ClaimStatus::GRANTED);
-    cr_expect_eq(settle(state, key, "one", true), Protocol::SettleStatus::NO_SUCH_CLAIM, "the first attempt has no say any more");
+    cr_expect_eq(settle(state, key, "one", true), Protocol::SettleStatus::NO_SUCH_CLAIM, "the first attempt no longer holds the claim");
 }
 
-Test(ControlState, neverReleasesARecordedOutcome)
+Test(ControlState, keepsARecordedOutcome)
 {
     ControlState state;
     const std::string key = keyAt(Start);
@@ -203,7 +205,7 @@
     cr_expect_eq(claim(state, key, "two"), Protocol::ClaimStatus::COMPLETED);
 }
 
-Test(ControlState, forgetsARecordOnlyWhenItsKeyIsRefused)
+Test(ControlState, expiresARecordOnlyWhenItsKeyIsRejected)
 {
     ControlState state({.claimHorizon = std::chrono::seconds(100)});
     const std::string key = keyAt(Start);
@@ -211,7 +213,7 @@
     cr_expect_eq(claim(state, key, "two", Start + 100'000), Protocol::ClaimStatus::OUTCOME_UNKNOWN);
     cr_expect_eq(claim(state, key, "two", Start + 100'001), Protocol::ClaimStatus::KEY_EXPIRED);
     cr_expect_eq(state.claimCount(), 0U);
-    cr_expect_eq(claim(state, key, "two", Start), Protocol::ClaimStatus::KEY_EXPIRED, "the log's time never goes back");
+    cr_expect_eq(claim(state, key, "two", Start), Protocol::ClaimStatus::KEY_EXPIRED, "the log's time never decreases");
     cr_expect_eq(claim(state, keyAt(Start + 600'000), "one", Start), Protocol::ClaimStatus::KEY_FROM_FUTURE);
     cr_expect_eq(claim(state, "no key", "one", Start), Protocol::ClaimStatus::KEY_EXPIRED);
 }
@@ -223,11 +225,11 @@
 /** One row of the repair table. */
 struct RepairCase {
     const char *name;
-    /** Names of members: upper case for voters. */
+    /** Names of the members, one letter each: upper case for voters, lower case for standbys, "z" for one whose log is behind. */
     const char *members;
-    /** Names of those that are silent. */
+    /** Names of the members that the leader has received nothing from for 100 s. */
     const char *silent;
-    /** What is expected: + promotes, - removes, empty does nothing. */
+    /** The expected change: + promotes, - removes, empty for no change. */
     const char *expected;
 };
 }
@@ -255,13 +257,13 @@
 Test(RepairPolicy, promotesAStandbyBeforeItRemovesTheLostVoter)
 {
     const RepairCase table[] = {
-        {"all well", "ABCd", "", ""},
-        {"voter lost, standby there", "ABCd", "C", "+d"},
-        {"standby promoted, lost voter still in", "ABCD", "C", "-C"},
+        {"all members reachable", "ABCd", "", ""},
+        {"voter lost, standby available", "ABCd", "C", "+d"},
+        {"standby promoted, lost voter not removed yet", "ABCD", "C", "-C"},
         {"no standby", "ABC", "C", ""},
         {"standby silent", "ABCd", "Cd", ""},
         {"standby behind", "ABCz", "C", ""},
-        {"silent standby is nobody's loss", "ABCd", "d", ""},
+        {"silent standby is not replaced", "ABCd", "d", ""},
     };
     for (const auto &row : table) {
         const auto change = Control::chooseRepair(makeView(row), {});
--- a/Tests/LibStorage/TestWriteAheadLog.cpp
+++ b/Tests/LibStorage/TestWriteAheadLog.cpp
@@ -3,6 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
+// Tests of the write-ahead log on a fake folder that can fail and lose bytes, and of the folder on disk.
+
 #include <Support/FakeFolder.h>
 
 #include <LibStorage/PosixFolder.h>
@@ -34,22 +36,22 @@
 static void writeEntries(WriteAheadLog &log, std::int64_t first, std::int64_t last)
 {
     for (std::int64_t index = first; index <= last; ++index) {
-        log.putEntry(makeEntry(index));
+        log.queueEntry(makeEntry(index));
         cr_assert(log.flush().has_value());
     }
 }
 
-Test(WriteAheadLog, givesBackWhatWasFlushed)
+Test(WriteAheadLog, recoversFlushedRecords)
 {
     FakeFolder folder;
     std::string identity;
     {
         auto log = openLog(folder);
         identity = log->takeRecoveredState().storageId;
-        log->putVote(7, "somebody");
+        log->queueVote(7, "somebody");
         writeEntries(*log, 1, 5);
-        log->putTruncation(4);
-        log->putEntry(makeEntry(4, "other"));
+        log->queueTruncation(4);
+        log->queueEntry(makeEntry(4, "other"));
         cr_assert(log->flush().has_value());
     }
     const auto state = openLog(folder)->takeRecoveredState();
@@ -60,26 +62,26 @@
     cr_expect_eq(state.entries.back().command, "other");
 }
 
-Test(WriteAheadLog, cutsOffATornTailAtEveryLength)
+Test(WriteAheadLog, truncatesATornLastBatchOfAnyLength)
 {
-    FakeFolder whole;
-    auto log = openLog(whole);
+    FakeFolder intact;
+    auto log = openLog(intact);
     writeEntries(*log, 1, 3);
-    const std::string name = whole.list().value().front();
-    const std::size_t durable = whole.size(name);
-    log->putEntry(makeEntry(4));
+    const std::string name = intact.list().value().front();
+    const std::size_t durable = intact.size(name);
+    log->queueEntry(makeEntry(4));
     cr_assert(log->flush().has_value());
-    const std::string bytes = whole.read(name).value();
+    const std::string bytes = intact.read(name).value();
     for (std::size_t length = durable; length < bytes.size(); ++length) {
         FakeFolder torn;
         cr_assert(torn.replace(name, bytes.substr(0, length)).has_value());
         const auto state = openLog(torn)->takeRecoveredState();
-        cr_expect_eq(state.entries.size(), 3U, "cut at %zu", length);
+        cr_expect_eq(state.entries.size(), 3U, "truncated at %zu", length);
         cr_expect_eq(state.tornBytes, length - durable);
     }
 }
 
-Test(WriteAheadLog, refusesEverySingleFlippedBit)
+Test(WriteAheadLog, rejectsEverySingleBitFlip)
 {
     FakeFolder original;
     writeEntries(*openLog(original), 1, 3);
@@ -87,17 +89,17 @@
     const std::string bytes = original.read(name).value();
     for (std::size_t position = 0; position < bytes.size(); ++position) {
         for (unsigned bit = 0; bit < 8; ++bit) {
-            FakeFolder rotten;
-            cr_assert(rotten.replace(name, bytes).has_value());
-            rotten.flipBit(name, position, bit);
-            const auto log = WriteAheadLog::create(rotten);
-            cr_assert(!log.has_value(), "byte %zu bit %u went unnoticed", position, bit);
+            FakeFolder corrupted;
+            cr_assert(corrupted.replace(name, bytes).has_value());
+            corrupted.flipBit(name, position, bit);
+            const auto log = WriteAheadLog::create(corrupted);
+            cr_assert(!log.has_value(), "flipped bit not detected: byte %zu bit %u", position, bit);
             cr_expect_eq(static_cast<int>(log.error().kind), static_cast<int>(Core::ErrorKind::Corruption));
         }
     }
 }
 
-Test(WriteAheadLog, takesAZeroFilledTailForTorn)
+Test(WriteAheadLog, treatsAZeroFilledTailAsTorn)
 {
     FakeFolder folder;
     writeEntries(*openLog(folder), 1, 2);
@@ -109,22 +111,22 @@
     cr_expect_eq(state.tornBytes, 500U);
 }
 
-Test(WriteAheadLog, neverTrustsAFolderAfterAFailedWriteOrSync)
+Test(WriteAheadLog, staysFailedAfterAFailedWriteOrSync)
 {
     for (const int operations : {0, 1}) {
         FakeFolder folder;
         auto log = openLog(folder);
         folder.failAfter(operations);
-        log->putEntry(makeEntry(1));
+        log->queueEntry(makeEntry(1));
         cr_expect(!log->flush().has_value());
         folder.failNever();
-        log->putEntry(makeEntry(1));
+        log->queueEntry(makeEntry(1));
         cr_expect(!log->flush().has_value(), "a failed log must stay failed");
         cr_expect(!log->failureMessage().empty());
     }
 }
 
-Test(WriteAheadLog, survivesACrashBetweenAnyTwoStepsOfCompaction)
+Test(WriteAheadLog, recoversFromACrashBetweenAnyTwoCompactionSteps)
 {
     for (int operations = 0; operations <= 5; ++operations) {
         FakeFolder folder;
@@ -146,19 +148,19 @@
         cr_expect_eq(state.storageId, identity);
         cr_assert(!state.entries.empty());
         cr_expect_eq(state.entries.back().index, 6, "after %d steps", operations);
-        const bool whole = state.snapshot.has_value() ? state.snapshot->index == 4 && state.entries.size() == 2 : state.entries.size() == 6;
-        cr_expect(whole, "after %d steps", operations);
+        const bool intact = state.snapshot.has_value() ? state.snapshot->index == 4 && state.entries.size() == 2 : state.entries.size() == 6;
+        cr_expect(intact, "after %d steps", operations);
         cr_expect(!compacted || state.snapshot.has_value());
     }
 }
 
-Test(PosixFolder, keepsFilesAndLocksOutASecondProcess)
+Test(PosixFolder, keepsFilesAndRejectsASecondOpen)
 {
     const auto path = std::filesystem::temp_directory_path() / ("crankrudder-test-" + std::to_string(getpid()));
     {
         const auto folder = Storage::PosixFolder::create(path.string());
         cr_assert(folder.has_value());
-        cr_expect(!Storage::PosixFolder::create(path.string()).has_value(), "two holders of one folder");
+        cr_expect(!Storage::PosixFolder::create(path.string()).has_value(), "the same folder was opened twice");
         auto log = openLog(*folder.value());
         writeEntries(*log, 1, 3);
     }
