--- a/Libraries/LibConsensus/ReplicatedLog.cpp
+++ b/Libraries/LibConsensus/ReplicatedLog.cpp
@@ -56,7 +56,7 @@
     , readIndexRequests(initialReadRequestNumber(this->random))
 {
     this->ownMember.storageId = recovered.storageId;
-    if (this->options.nameWithFolder) {
+    if (this->options.appendStorageIdToName) {
         this->ownMember.name += '.';
         this->ownMember.name += recovered.storageId.substr(0, StorageIdSuffixLength);
     }
--- a/Libraries/LibConsensus/ReplicatedLog.h
+++ b/Libraries/LibConsensus/ReplicatedLog.h
@@ -43,7 +43,7 @@
     /** Name and addresses; the storage id is filled in from the data folder. */
     Protocol::Member identity;
     /** Appends the first digits of the storage id to the name, so that an instance which lost its data folder joins as a new member. */
-    bool nameWithFolder{false};
+    bool appendStorageIdToName{false};
     Core::Duration heartbeatPeriod{Core::milliseconds(100)};
     /** A member starts no election and supports none within this time after a message from a leader. */
     Core::Duration electionTimeout{Core::milliseconds(500)};
--- a/Libraries/LibConsensus/WaitingProposals.h
+++ b/Libraries/LibConsensus/WaitingProposals.h
@@ -27,7 +27,7 @@
     struct CommittedProposal {
         Hook hook;
         /** Whether the committed entry is the proposed one. It is not when another leader's entry replaced it at this index. */
-        bool isOwn{false};
+        bool isProposedEntry{false};
     };
 
     /** Adds the hook for an entry that this instance proposed as leader, by the entry's index and term. */
@@ -43,7 +43,7 @@
         if (found == this->waiting.end()) {
             return std::nullopt;
         }
-        CommittedProposal committed{.hook = std::move(found->second.hook), .isOwn = found->second.term == entry.term};
+        CommittedProposal committed{.hook = std::move(found->second.hook), .isProposedEntry = found->second.term == entry.term};
         this->waiting.erase(found);
         return committed;
     }
--- a/Libraries/LibControl/ControlNode.cpp
+++ b/Libraries/LibControl/ControlNode.cpp
@@ -148,7 +148,7 @@
     }
     const auto proposal = this->waiting.take(entry);
     if (proposal.has_value()) {
-        proposal->hook(proposal->isOwn ? &outcome : nullptr);
+        proposal->hook(proposal->isProposedEntry ? &outcome : nullptr);
     }
 }
 
--- a/Libraries/LibStorage/Batch.cpp
+++ b/Libraries/LibStorage/Batch.cpp
@@ -66,7 +66,7 @@
         return BatchState::Torn;
     }
     if (numberAt(rest, 2 * NumberBytes) == checksumOf(content.substr(0, length))) {
-        return BatchState::Whole;
+        return BatchState::Intact;
     }
     const bool isLast = content.size() == length;
     const bool tailUnwritten = length >= UnwrittenTailBytes && isAllZero(content.substr(length - UnwrittenTailBytes, UnwrittenTailBytes));
--- a/Libraries/LibStorage/Batch.h
+++ b/Libraries/LibStorage/Batch.h
@@ -24,7 +24,7 @@
 
 /** The result of checking a batch. */
 enum class BatchState {
-    Whole,
+    Intact,
     /** The last write was cut short by a crash. The batch was never acknowledged. */
     Torn,
     /** Bytes changed after they were written. The batch may have been acknowledged. */
--- a/Libraries/LibStorage/WriteAheadLog.cpp
+++ b/Libraries/LibStorage/WriteAheadLog.cpp
@@ -118,7 +118,7 @@
     }
     const std::string_view bytes = content.value();
     // A snapshot file gets its name only when it is complete, so it can't be torn.
-    if (examineBatch(bytes) != BatchState::Whole || batchContent(bytes).size() != bytes.size() - BatchHeaderBytes) {
+    if (examineBatch(bytes) != BatchState::Intact || batchContent(bytes).size() != bytes.size() - BatchHeaderBytes) {
         return Core::failure(Core::ErrorKind::Corruption, name + " is corrupt");
     }
     auto snapshot = Rpc::deserialize<Protocol::StoredSnapshot>(batchContent(bytes));
