--- a/Libraries/LibConsensus/ReplicatedLog.cpp
+++ b/Libraries/LibConsensus/ReplicatedLog.cpp
@@ -546,7 +546,7 @@
     }
     // M1. Membership changes are made one at a time, and the first one only after the leader has committed an entry of its own term.
     if (this->committed < this->termStartIndex || this->store.membershipIndex() > this->committed) {
-        return Core::failure(Core::ErrorKind::LimitReached, "another membership change is not committed yet");
+        return Core::failure(Core::ErrorKind::LimitReached, "an earlier membership change or the first entry of this leader's term is not committed yet");
     }
     // M3. A learner becomes a voter only after its log has reached the commit index.
     if (change.kind == Protocol::MemberChangeKind::PROMOTE && this->matchIndexOf(change.member.name) < this->committed) {
--- a/Libraries/LibConsensus/ReplicatedLog.h
+++ b/Libraries/LibConsensus/ReplicatedLog.h
@@ -93,7 +93,7 @@
 
     /**
      * Bootstraps a new log. Every initial member has to be given the same membership. Fails when this instance belongs to a log that was
-     * bootstrapped with another membership, or when the membership does not list it as a voter.
+     * bootstrapped with another membership, when the membership does not list it as a voter, and when the storage fails.
      */
     [[nodiscard]] Core::Result<void> bootstrap(const Protocol::Membership &membership);
 
@@ -101,8 +101,8 @@
     [[nodiscard]] Core::Result<std::int64_t> propose(std::string command);
 
     /**
-     * Queues a change of the membership and returns its index. Fails unless this instance is the leader, while an earlier change is not
-     * committed, and when the change is invalid.
+     * Queues a change of the membership and returns its index. Fails unless this instance is the leader, while an earlier change or the
+     * first entry of the leader's term is not committed, when a learner to be promoted has not caught up, and when the change is invalid.
      */
     [[nodiscard]] Core::Result<std::int64_t> proposeMembership(const Protocol::MemberChange &change);
 
@@ -147,6 +147,7 @@
         std::int64_t nextIndex{1};
         // Invariant: matchIndex < nextIndex.
         std::int64_t matchIndex{0};
+        // Latest round of messages that the member has replied to.
         std::int64_t confirmedRound{0};
         Core::Instant lastContact;
         // Index of the snapshot that is being sent, 0 when none is, and the number of its bytes that the member has acknowledged.
@@ -154,6 +155,7 @@
         std::int64_t snapshotOffset{0};
     };
     struct PendingConfirmation {
+        // Round of messages whose replies confirm the leadership.
         std::int64_t round{0};
         ConfirmHook hook;
     };
@@ -228,7 +230,7 @@
     // Storage id of the member that got this instance's vote in the current term, or empty when it has not voted.
     std::string votedFor;
     std::string leaderName;
-    // Invariant: never decreases; at most store.lastIndex().
+    // Invariant: the commit index never decreases and is at most store.lastIndex().
     std::int64_t committed{0};
     // Last index that is on disk. The leader counts its own log towards a quorum only up to this index.
     std::int64_t durableIndex{0};
--- a/Libraries/LibControl/ControlNode.h
+++ b/Libraries/LibControl/ControlNode.h
@@ -85,6 +85,7 @@
 private:
     // Receives the outcome of a proposed command; nullptr when it is unknown whether the entry was committed.
     using OutcomeHook = std::function<void(const CommandOutcome *outcome)>;
+    // What an entry instance sent in its latest follow request, and when.
     struct EntryInstance {
         std::int64_t incarnation{0};
         std::int64_t revision{0};
--- a/Libraries/LibControl/ControlState.h
+++ b/Libraries/LibControl/ControlState.h
@@ -76,7 +76,7 @@
     void discardOldChanges();
 
     ControlStateOptions options;
-    // Invariant: never decreases.
+    // The log's time in milliseconds since the Unix epoch. Invariant: it never decreases.
     std::int64_t time{0};
     // Invariant: the revisions are consecutive, and the last one is current.
     std::vector<Protocol::AcceptedChange> changes;
