--- a/Libraries/LibCoordinator/CoordinatorNode.h
+++ b/Libraries/LibCoordinator/CoordinatorNode.h
@@ -36,7 +36,7 @@
     /** The same for a gateway, which calls at least each time that a question was held. */
     Core::Duration gatewaySilence{Core::seconds(12)};
     /** Says what is wrong with a declaration's text, or which version it has. */
-    std::function<Core::Result<Fleet::DeclarationVersion>(const std::string &content)> examine;
+    std::function<Core::Result<Fleet::DeclarationVersion>(const std::string &content)> validateDeclaration;
     /** The availability zones of the deployment, which operators may evacuate. */
     Fleet::RegionOfZone regions;
 };
--- a/Libraries/LibFleet/HeartbeatTimes.h
+++ b/Libraries/LibFleet/HeartbeatTimes.h
@@ -27,14 +27,14 @@
     /** A backend server without a heartbeat for this long is taken for gone. */
     Core::Duration silence{0};
     /** Within this time after its first news a gateway knows every backend server that calls. */
-    Core::Duration allHeard{0};
+    Core::Duration registryCompleteAfter{0};
 
     [[nodiscard]] static HeartbeatTimes of(Core::Duration period)
     {
         return {.unconfirmedTimeout = period + Lateness,
             .silence = std::max(LeastSilence, MissedInSilence * period),
             // Two periods, and the way from a coordinator.
-            .allHeard = 2 * period + Core::milliseconds(200)};
+            .registryCompleteAfter = 2 * period + Core::milliseconds(200)};
     }
 };
 
