--- a/Libraries/LibCoordinator/CoordinatorNode.cpp
+++ b/Libraries/LibCoordinator/CoordinatorNode.cpp
@@ -20,9 +20,9 @@
 static constexpr Core::Duration IntroductionPeriod = Core::milliseconds(300);
 static constexpr Core::Duration IntroductionTimeout = Core::milliseconds(800);
 static constexpr Core::Duration ExpiryPeriod = Core::seconds(1);
-// A gap between two checks that is longer shows that this process itself stood still.
+// A longer gap between two checks for expired records shows that this process itself was stopped for a while.
 static constexpr Core::Duration OwnPauseLimit = Core::seconds(3);
-// How often changes of backend servers go to the disk, in one write; some are lost with the power, and heartbeats bring them.
+// How often changes of backend servers are written to disk, in one write. Changes that a loss of power drops are received again with heartbeats.
 static constexpr Core::Duration StorePeriod = Core::milliseconds(500);
 static constexpr Core::Duration DrainPollPeriod = Core::milliseconds(20);
 
@@ -134,7 +134,7 @@
     }
     outcome.version = version->value();
     if (outcome.version <= this->log->version()) {
-        // What is applied here is on a quorum's disks already, so no leader is needed to say so.
+        // What is applied here is on the disks of a quorum already, so the order is accepted without the leader.
         outcome.status = OrderStatus::Accepted;
         done(outcome);
         return;
@@ -153,11 +153,11 @@
     OrderOutcome outcome;
     if (!this->options.regions.contains(zone)) {
         outcome.status = OrderStatus::Invalid;
-        outcome.problem = "there is no availability zone " + zone;
+        outcome.problem = "unknown availability zone " + zone;
         done(outcome);
         return;
     }
-    // NOTE: Always through the leader's log. What is applied here may be out of date, so it can't show that the order is in force already.
+    // NOTE: The order is always proposed through the leader. The state applied here may be out of date, so it can't show that the order is active already.
     outcome.leaderAddress = this->leaderOperatorAddress();
     if (this->draining) {
         outcome.status = OrderStatus::NotLeader;
@@ -250,7 +250,8 @@
     const auto gap = now - std::exchange(this->lastExpiry, now);
     const bool alone = this->peers->reachableCount() == 0 && !this->options.seeds.empty();
     if (gap >= OwnPauseLimit || alone) {
-        // G4. Silence proves nothing while this process stood still, or while heartbeats may go to others that it can't hear.
+        // Rule G4: A missed heartbeat does not show that a backend server has ended when this process was stopped, or when heartbeats may have reached other
+        // coordinators that are unreachable from here.
         this->registry.restartHeartbeatTimeouts(now);
         this->gateways.restartHeartbeatTimeouts(now);
         return;
@@ -330,7 +331,7 @@
     if (replicated == nullptr) {
         return;
     }
-    // A member hears from a leader, or stands itself. One that does neither may have been taken out while it was away.
+    // A member either has a known leader or becomes a candidate itself. A member without a leader may have been removed while it was down.
     const bool quiet = replicated->leader() == nullptr;
     if (this->isMember() && !quiet) {
         this->introductionChannels.clear();
@@ -378,8 +379,8 @@
     this->foundIfComplete();
 }
 
-// F1. Only the seed with the lowest address founds, only when the platform says that the whole system starts for the
-// first time, and only once every seed has said that it holds no log. An empty folder alone is never a reason.
+// Rule F1: Only the seed with the lowest address bootstraps the log, only when the platform states that the whole system starts for the first time, and only
+// once every seed has stated that it holds no log. An empty folder alone is no reason to bootstrap, since the log may exist on other coordinators.
 void CoordinatorNode::foundIfComplete()
 {
     auto *replicated = this->log->log();
@@ -465,7 +466,7 @@
         return;
     }
     if (this->log->isLeader() && this->log->log()->transferLeadership(this->timers.now())) {
-        // The next look finds this coordinator a follower, or asks again.
+        // The next poll finds that this coordinator has become a follower, or requests the transfer again.
         return;
     }
     this->drainTimer.cancel();
@@ -480,15 +481,15 @@
     Metrics::MetricsPage page;
     const auto *replicated = this->log->log();
     page.gauge("crankrudder_folder_usable", "Whether the data folder can be used.", replicated != nullptr ? 1 : 0);
-    page.gauge("crankrudder_leader", "Whether this coordinator leads.", this->log->isLeader() ? 1 : 0);
-    page.gauge("crankrudder_has_leader", "Whether this coordinator hears from a leader.", replicated != nullptr && replicated->leader() != nullptr ? 1 : 0);
-    page.gauge("crankrudder_declaration_version", "The newest committed declaration.", static_cast<double>(this->log->version()));
+    page.gauge("crankrudder_leader", "Whether this coordinator is the leader.", this->log->isLeader() ? 1 : 0);
+    page.gauge("crankrudder_has_leader", "Whether this coordinator has a known leader.", replicated != nullptr && replicated->leader() != nullptr ? 1 : 0);
+    page.gauge("crankrudder_declaration_version", "Version of the newest committed declaration.", static_cast<double>(this->log->version()));
     page.gauge("crankrudder_evacuated_zones", "Availability zones that are evacuated.", static_cast<double>(this->log->evacuations().zones.size()));
-    page.gauge("crankrudder_backends_ready", "Backend servers that take work.", this->registry.readyCount());
-    page.gauge("crankrudder_gateways", "Gateways that take requests.", this->gateways.readyCount());
-    page.gauge("crankrudder_watchers", "Questions that are held for news.", static_cast<double>(this->desk->waitingCount()));
-    page.gauge("crankrudder_coordinators_in_reach", "Other coordinators that answer.", static_cast<double>(this->peers->reachableCount()));
-    page.counter("crankrudder_disk_syncs_total", "Writes that were made last.", static_cast<double>(this->log->syncCount()));
+    page.gauge("crankrudder_backends_ready", "Backend servers that are ready.", this->registry.readyCount());
+    page.gauge("crankrudder_gateways", "Gateways that are ready.", this->gateways.readyCount());
+    page.gauge("crankrudder_watchers", "Watch requests that are held until there is an update.", static_cast<double>(this->desk->waitingCount()));
+    page.gauge("crankrudder_coordinators_in_reach", "Other coordinators that are reachable.", static_cast<double>(this->peers->reachableCount()));
+    page.counter("crankrudder_disk_syncs_total", "Syncs of the write-ahead log to disk.", static_cast<double>(this->log->syncCount()));
     if (replicated != nullptr) {
         page.gauge("crankrudder_log_term", "Election term.", static_cast<double>(replicated->term()));
         page.gauge("crankrudder_log_commit_index", "Last committed entry.", static_cast<double>(replicated->commitIndex()));
--- a/Libraries/LibCoordinator/CoordinatorNode.h
+++ b/Libraries/LibCoordinator/CoordinatorNode.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A coordinator: takes declarations from operators and heartbeats from backend
-// servers, and tells gateways and other coordinators what is new.
+// A coordinator. It receives declarations and evacuation orders from operators and
+// heartbeats from backend servers, and sends updates to the gateways and the other
+// coordinators that watch it.
 
 #pragma once
 
@@ -23,55 +24,56 @@
 struct CoordinatorOptions {
     DeclarationLogOptions log;
     MembershipPolicyOptions membership;
-    /** Where gateways and other coordinators call. */
+    /** Where gateways and other coordinators send watch requests and introductions. */
     Core::Endpoint watchEndpoint;
-    /** Coordinators that are known from the settings. */
+    /** Endpoints of the coordinators that the settings name, which may include this one. */
     std::vector<Core::Endpoint> seeds;
-    /** The whole system starts for the first time with empty folders. */
+    /** Set when the whole system starts for the first time, with empty data folders, so that a log may be bootstrapped. */
     bool mayFound{false};
-    /** A question without news is answered after this long, so that the asker knows that the coordinator lives. */
+    /** A watch request for which there is no update is answered after this long, so that the watcher knows that the coordinator still runs. */
     Core::Duration longPollTimeout{Core::milliseconds(1800)};
-    /** How long heartbeats of backend servers are waited for. */
+    /** Timeouts for the heartbeats of backend servers. */
     Fleet::HeartbeatTimes heartbeats{Fleet::HeartbeatTimes::of(Core::milliseconds(1200))};
-    /** The same for a gateway, which calls at least each time that a question was held. */
+    /** Heartbeat timeout of gateways. A gateway announces itself with each watch request, so at least once in each long-poll timeout. */
     Core::Duration gatewaySilence{Core::seconds(12)};
-    /** Says what is wrong with a declaration's text, or which version it has. */
+    /** Validates the text of a declaration. Returns its version, or an error that says what is wrong. */
     std::function<Core::Result<Fleet::DeclarationVersion>(const std::string &content)> examine;
-    /** The availability zones of the deployment, which operators may evacuate. */
+    /** The availability zones of the deployment, with their regions. Operators may evacuate these zones and no others. */
     Fleet::RegionOfZone regions;
 };
 
-/** What becomes of an operator's order. */
+/** Outcome of an operator's order. */
 enum class OrderStatus {
-    /** A quorum holds it; a declaration also when a quorum holds a higher version. */
+    /** The order is committed. A declaration is also accepted when its version or a higher one was committed before. */
     Accepted,
+    /** The order was rejected and not proposed; OrderOutcome::problem says why. */
     Invalid,
-    /** Another coordinator has to be asked. */
+    /** This coordinator is not the leader or is draining. The order was not proposed and has to be sent to the leader. */
     NotLeader,
-    /** It may or may not come into force. */
+    /** The order was proposed, and it is unknown whether it is or will be committed. */
     Unknown,
 };
 
 struct OrderOutcome {
     OrderStatus status{OrderStatus::Unknown};
-    /** The version of a declaration; -1 when it can't be read. */
+    /** The version of the declaration; -1 for an invalid declaration and for an evacuation. */
     std::int64_t version{-1};
-    /** For Invalid: what is wrong. */
+    /** Why the order is Invalid; otherwise empty. */
     std::string problem;
-    /** For NotLeader: where operators reach the leader; empty when unknown. */
+    /** Where operators reach the leader; empty when it is unknown. */
     std::string leaderAddress;
 };
 
-/** What a reader gets. */
+/** Outcome of reading the declaration. */
 struct ReadOutcome {
-    /** Whether `content` is the newest, confirmed by a quorum after the question came. */
+    /** Whether a quorum confirmed, after the read began, that `version` and `content` are the newest. Both are unset otherwise. */
     bool confirmed{false};
     std::int64_t version{-1};
     std::string content;
     std::string leaderAddress;
 };
 
-/** Answers through hooks, which are called exactly once. */
+/** One coordinator of the control plane. Each hook that is passed to a function is called exactly once. */
 class CoordinatorNode
 {
 public:
@@ -79,38 +81,48 @@
     CoordinatorNode(const CoordinatorNode &) = delete;
     CoordinatorNode &operator=(const CoordinatorNode &) = delete;
 
-    // Operators.
+    // For operators.
+
+    /** Validates a declaration and commits it through the log. */
     void declare(const std::string &content, const std::function<void(const OrderOutcome &outcome)> &done);
-    /** Nothing more goes to the backend servers of an availability zone, or they are used again. */
+    /** Orders that requests are no longer sent to the backend servers of an availability zone, or, with `evacuate` false, that they are used again. */
     void evacuate(const std::string &zone, bool evacuate, const std::function<void(const OrderOutcome &outcome)> &done);
+    /** Reads the newest declaration after a quorum has confirmed that it is the newest. */
     void read(const std::function<void(const ReadOutcome &outcome)> &done);
 
-    // Backend servers.
+    // For backend servers.
+
+    /** Receives a heartbeat. */
     void announce(const Protocol::BackendAnnouncement &announcement);
-    /** `born` tells which life ends; 0 when the backend server did not say. */
+    /** Receives a deregistration. `born` is the start time of the incarnation that ends, in Unix milliseconds; 0 when it was not given. */
     void deregister(const std::string &id, std::int64_t born);
 
-    // Gateways and other coordinators.
+    // For gateways and other coordinators.
+
+    /** Answers a watch request, and receives the announcement that a gateway sends with it. */
     void watch(const Protocol::WatchRequest &request, const std::function<void(const Protocol::WatchReply &reply)> &done);
+    /** Answers the introduction of another coordinator. The leader proposes to add an unknown coordinator as a learner. */
     [[nodiscard]] Protocol::IntroductionReply introduce(const Protocol::Introduction &introduction);
+    /** Receives messages of the replicated log. */
     void receive(const std::vector<Protocol::LogMessage> &messages);
 
+    /** Replaces the seeds after the settings changed. */
     void addSeeds(const std::vector<Core::Endpoint> &seeds);
 
-    /** Hands leadership over. `stopped` is called when nothing waits any more. */
+    /** Refuses further orders and transfers leadership. `stopped` is called when no proposal waits any more and this coordinator does not lead. */
     void drain(std::function<void()> stopped);
 
     [[nodiscard]] const DeclarationLog &declarations() const;
     [[nodiscard]] const Fleet::BackendRegistry &backends() const;
-    /** Gauges in the Prometheus text format; docs/OPERATIONS.md tells what they mean. */
+    /** Metrics in the Prometheus text format; docs/OPERATIONS.md explains them. */
     [[nodiscard]] std::string metrics() const;
-    /** The state as JSON, for people. */
+    /** The state as JSON, for operators. */
     [[nodiscard]] std::string dump() const;
 
 private:
     CoordinatorNode(CoordinatorOptions options, Core::TimerService &timers);
     void startTimers();
-    /** Tells how the log took an order. */
+    /** Makes a hook that completes `outcome` with the end of a proposal and calls `done` with it. */
     [[nodiscard]] static DeclarationLog::ProposalHook answerTo(OrderOutcome outcome, const std::function<void(const OrderOutcome &outcome)> &done);
     void changeMembers();
     void seekMembership();
@@ -132,11 +144,11 @@
     RegistryStore store;
     std::unique_ptr<Fleet::FleetWatcher> peers;
     std::unique_ptr<DeclarationLog> log;
-    // Gateways that take requests.
+    // Gateways that accept requests, by their own announcements.
     Fleet::BackendRegistry gateways;
-    // NOTE: After what it looks at.
+    // NOTE: Declared after the log and the registries, which it refers to and which have to outlive it.
     std::unique_ptr<WatchService> desk;
-    // Coordinators that introduced themselves, by address; only used until a log is founded.
+    // Introductions of other coordinators, by their endpoint; only used until the log is bootstrapped.
     std::map<Core::Endpoint, Protocol::Introduction> introduced;
     std::map<Core::Endpoint, std::shared_ptr<Rpc::RpcChannel>> introductionChannels;
     Core::Instant lastExpiry;
--- a/Libraries/LibCoordinator/DeclarationLog.cpp
+++ b/Libraries/LibCoordinator/DeclarationLog.cpp
@@ -15,11 +15,11 @@
 namespace Coordinator
 {
 
-// Elections are decided to within a quarter of the heartbeat period.
+// Election and heartbeat timeouts are checked this many times in each heartbeat period.
 static constexpr int TicksPerHeartbeat = 4;
-// Earlier texts that are kept compressed for deltas: a watcher that misses more gets the whole text.
+// Number of earlier texts that are stored, compressed, as bases of deltas. A watcher that holds an older version is sent the whole text.
 static constexpr std::size_t EarlierVersions = 12;
-// The longest text; operators' documents are bounded by the same figure where they come in.
+// The longest declaration text. The operators' interface bounds the documents that it accepts by the same figure.
 static constexpr std::size_t MaximumContentBytes = 16 * 1024 * 1024;
 
 DeclarationLog::DeclarationLog(DeclarationLogOptions options, Core::TimerService &timers) : options(std::move(options)), timers(timers)
@@ -205,7 +205,7 @@
         if (order.has_value()) {
             this->applyOrder(order.value());
         } else {
-            // Every coordinator meets the same bytes, so every one passes over them alike.
+            // Every coordinator applies the same bytes, so all of them skip this entry alike and their states stay the same.
             Core::logEvent(Core::LogLevel::Error, "log.command_unreadable", {{"index", entry.index}, {"error", order.error().message}});
         }
     }
--- a/Libraries/LibCoordinator/DeclarationLog.h
+++ b/Libraries/LibCoordinator/DeclarationLog.h
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What operators ordered, kept on a quorum of coordinators by the replicated log:
-// the declaration, and which availability zones are evacuated. Of all accepted
-// declarations the one with the highest version counts; of two with one version,
-// the one that the log holds first. Of orders on a zone the last one in the log
-// counts. An order enters the log only at the leader that gets it from the
-// operator and waits nowhere else, so one whose sender has given up can't be
-// committed after a later one that was acknowledged.
+// Operators' orders, stored on a quorum of coordinators by the replicated log: the
+// declaration and the evacuated availability zones. Of all accepted declarations
+// the one with the highest version is active; of two with the same version, the
+// one that comes first in the log. Of all orders on a zone the last one in the log
+// is active. An order is proposed only by the leader that receives it from the
+// operator and is queued nowhere else, so an order whose sender has cancelled it
+// can't be committed after a later order that was acknowledged.
 
 #pragma once
 
@@ -27,73 +27,76 @@
 namespace Coordinator
 {
 
-/** Settings of one coordinator's part. */
+/** Settings of the log on one coordinator. */
 struct DeclarationLogOptions {
     Consensus::ReplicatedLogOptions log;
     std::string dataFolder;
-    /** Pause before a folder whose disk failed is opened again. */
+    /** Delay before the data folder is opened again after a disk failure. */
     Core::Duration reopenPause{Core::milliseconds(500)};
+    /** Sends a message of the replicated log to another member. */
     std::function<void(const Protocol::Member &receiver, Protocol::LogMessage message)> send;
 };
 
-/** How a proposed order ended. */
+/** Outcome of a proposed order. */
 enum class ProposalEnd {
-    /** The log holds it on a quorum. */
+    /** A quorum stores the order in the log. */
     Committed,
-    /** Another coordinator leads, or none. Nothing was proposed. */
+    /** Another coordinator is the leader, or there is none. The order was not proposed. */
     NotLeader,
-    /** It may or may not come to be committed. */
+    /** It is unknown whether the order is or will be committed. */
     Unknown,
 };
 
-/** Opens its folder again by itself after a disk failure; meanwhile it takes part in nothing. */
+/** State machine over the replicated log. After a disk failure it takes no part in the log until it could open its folder again, which it tries by itself. */
 class DeclarationLog
 {
 public:
     using ProposalHook = std::function<void(ProposalEnd end)>;
 
-    /** Fails when the folder holds what was not written there. A disk that fails now is tried again later. */
+    /** Fails with Corruption when the content of the folder is damaged. After any other failure it opens the folder again later. */
     [[nodiscard]] static Core::Result<std::unique_ptr<DeclarationLog>> create(DeclarationLogOptions options, Core::TimerService &timers);
 
-    /** Puts a declaration into the log. The hook is called exactly once. */
+    /** Proposes a declaration. The hook is called exactly once. */
     void propose(std::int64_t version, const std::string &content, ProposalHook done);
 
-    /** Puts an operator's order to evacuate an availability zone, or to use it again, into the log. The hook is called exactly once. */
+    /** Proposes an operator's order to evacuate an availability zone or to use it again. The hook is called exactly once. */
     void proposeEvacuation(const Protocol::EvacuationOrder &order, ProposalHook done);
 
     /**
-     * Asks a quorum, through the leader, whether what is held here is the newest of all. Any coordinator that hears from a leader can
-     * confirm. The hook is called exactly once.
+     * Confirms with a quorum, through the leader, that the state applied here is the newest. This succeeds only on a coordinator that has a known leader. The
+     * hook is called exactly once.
      */
     void confirm(const std::function<void(bool confirmed)> &hook);
 
-    /** The version of the newest committed declaration as far as this coordinator knows; -1 for none. */
+    /** The version of the newest declaration that was applied on this coordinator; -1 when there is none. */
     [[nodiscard]] std::int64_t version() const;
-    /** Its text, as the operator sent it. */
+    /** The text of the newest applied declaration, as the operator sent it. */
     [[nodiscard]] const std::string &content() const;
-    /** Its text, compressed. */
+    /** The text of the newest applied declaration, compressed. */
     [[nodiscard]] const std::string &compressed() const;
-    /** The delta that leads to it from an earlier version, or nullptr when that one is too long ago. */
+    /** The delta from an earlier version to the newest applied declaration, or nullptr when the text of the earlier version is no longer stored. */
     [[nodiscard]] const std::string *deltaFrom(std::int64_t earlierVersion);
 
-    /** The evacuated zones as far as this coordinator knows. */
+    /** The evacuations that were applied on this coordinator. */
     [[nodiscard]] const Protocol::Evacuations &evacuations() const;
 
+    /** Receives messages of the replicated log from other members. */
     void receive(const std::vector<Protocol::LogMessage> &messages);
 
-    /** The data folder, for what else a coordinator keeps there, or nullptr while it can't be used. */
+    /** The data folder, in which the coordinator stores other files, too; nullptr while it can't be used. */
     [[nodiscard]] Storage::Folder *dataFolder();
 
-    /** The log, or nullptr while the folder can't be used. */
+    /** The replicated log; nullptr while the folder can't be used. */
     [[nodiscard]] Consensus::ReplicatedLog *log();
     [[nodiscard]] const Consensus::ReplicatedLog *log() const;
     [[nodiscard]] bool isLeader() const;
-    /** Whether there is a leader as far as this coordinator knows, itself included. */
+    /** Whether this coordinator has a known leader or is the leader. */
     [[nodiscard]] bool hasKnownLeader() const;
     [[nodiscard]] std::size_t waitingProposals() const;
+    /** Disk syncs of the write-ahead log since its folder was last opened. */
     [[nodiscard]] std::uint64_t syncCount() const;
 
-    /** A newer declaration or evacuation was committed. */
+    /** Called after a newer declaration or a change of the evacuated zones was applied. */
     std::function<void()> changed;
 
 private:
@@ -116,7 +119,7 @@
     std::string newestCompressed;
     std::string newestContent;
     EvacuatedZones evacuated;
-    // Texts of the versions before, newest last, and the deltas from them that were asked for since the newest one came.
+    // Compressed texts of earlier versions, newest last, and the deltas from them that were computed since the newest version was applied.
     std::deque<std::pair<std::int64_t, std::string>> earlier;
     std::map<std::int64_t, std::string> deltas;
     std::unique_ptr<Storage::PosixFolder> folder;
--- a/Libraries/LibCoordinator/EvacuatedZones.h
+++ b/Libraries/LibCoordinator/EvacuatedZones.h
@@ -4,7 +4,8 @@
  */
 
 // The availability zones that operators have evacuated, as a state machine over
-// the committed orders in the order of the log. Pure.
+// the committed orders, which are applied in the order of the log. Without side
+// effects.
 
 #pragma once
 
@@ -13,21 +14,20 @@
 namespace Coordinator
 {
 
-/** Every coordinator applies the same orders in the same order, so a revision stands for the same zones everywhere. */
+/** The evacuated zones and their revision. All coordinators apply the same orders in the same order, so a revision means the same zones on each of them. */
 class EvacuatedZones
 {
 public:
-    /** Applies a committed order. One that changes nothing, such as one that an operator sent again, keeps the revision. Returns whether it changed anything.
-     */
+    /** Applies a committed order and returns whether it changed the zones. An order without effect, such as a repeated one, does not raise the revision. */
     bool apply(const Protocol::EvacuationOrder &order);
 
-    /** Takes over the state of a snapshot, unless what is held is newer. Returns whether it was taken. */
+    /** Replaces the state by that of a snapshot if the snapshot has a higher revision. Returns whether it did. */
     bool restore(const Protocol::Evacuations &snapshot);
 
     [[nodiscard]] const Protocol::Evacuations &current() const;
 
 private:
-    // Invariant: no zone stands twice.
+    // Invariant: each zone is contained at most once.
     Protocol::Evacuations state;
 };
 
--- a/Libraries/LibCoordinator/MembershipPolicy.cpp
+++ b/Libraries/LibCoordinator/MembershipPolicy.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Answers the policy's questions about single members. */
+/** Classifies single members by the policy. */
 class Judge
 {
 public:
@@ -21,7 +21,7 @@
     {
     }
 
-    // Two members at one address: the folder of the one that joined first is lost, for certain.
+    // When two members have the same address, the coordinator there joined again with an empty folder, so the folder of the earlier member is lost.
     [[nodiscard]] bool folderIsLost(const Protocol::Member &member) const
     {
         bool seenSelf = false;
@@ -86,7 +86,7 @@
     if (lostVoter != members.end() && replaced) {
         return makeChange(Protocol::MemberChangeKind::REMOVE, *lostVoter);
     }
-    // A learner becomes a voter before the lost voter goes, so that the log is never held by fewer than before.
+    // A learner is promoted before the lost voter is removed, so that the number of voters that store the log never decreases.
     const bool needed = voters < options.targetVoters || (lostVoter != members.end() && !replaced);
     if (learner != members.end() && needed) {
         return makeChange(Protocol::MemberChangeKind::PROMOTE, *learner);
--- a/Libraries/LibCoordinator/MembershipPolicy.h
+++ b/Libraries/LibCoordinator/MembershipPolicy.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Decides, one step at a time, which coordinators vote. A coordinator that comes
-// with an empty folder joins as a learner and takes the place of the voter whose
-// folder was lost. Pure.
+// Decides, one membership change at a time, which coordinators vote in the
+// replicated log. A coordinator that starts with an empty folder joins as a
+// learner and replaces the voter whose folder was lost. Without side effects.
 
 #pragma once
 
@@ -18,28 +18,30 @@
 namespace Coordinator
 {
 
-/** How many vote, and how patient changes are. */
+/** The wanted number of voters, and the timeouts of membership changes. */
 struct MembershipPolicyOptions {
-    /** Twice the number of folders that may be lost at once, and one. */
+    /** The wanted number of voters: twice the number of folders that may be lost at once, plus one. */
     std::size_t targetVoters{3};
-    /** A voter that was silent for this long is replaced when a learner is there. Longer than a restart takes. */
+    /** A voter that sent no message for this long is replaced when a learner is ready. It is longer than a restart takes. */
     Core::Duration replaceAfter{Core::seconds(4)};
-    /** A learner has to have been heard within this time. */
+    /** A learner is ready to vote only if the leader received a message from it within this time. */
     Core::Duration learnerFreshness{Core::seconds(1)};
-    /** A learner that was silent for this long is taken out. */
+    /** A learner that sent no message for this long is removed. */
     Core::Duration forgetLearnerAfter{Core::seconds(10)};
 };
 
-/** What the leader knows of its peers. */
+/** The leader's view of the members of the log. */
 struct MembershipView {
     std::string leaderName;
     Protocol::Membership membership;
     std::int64_t commitIndex{0};
+    /** Index up to which a member's log is known to match that of the leader. */
     std::function<std::int64_t(const std::string &name)> matchIndexOf;
+    /** Time since the leader last received a message from a member. */
     std::function<Core::Duration(const std::string &name)> timeSinceContact;
 };
 
-/** The next change, or nothing. */
+/** Returns the next membership change, or nothing when none is needed. */
 [[nodiscard]] std::optional<Protocol::MemberChange> chooseMemberChange(const MembershipView &view, const MembershipPolicyOptions &options);
 
 }
--- a/Libraries/LibCoordinator/RegistryStore.cpp
+++ b/Libraries/LibCoordinator/RegistryStore.cpp
@@ -13,7 +13,7 @@
 {
 
 static constexpr const char *FileName = "backends";
-// The file is written anew once it is this many times as long as it needs to be, and not before it is worth the work.
+// The file is rewritten once it is this many times as long as the ready backend servers need, and not below a length at which rewriting saves too little.
 static constexpr std::size_t RewriteFactor = 4;
 static constexpr std::size_t RewriteFromBytes = 64 * 1024;
 
--- a/Libraries/LibCoordinator/RegistryStore.h
+++ b/Libraries/LibCoordinator/RegistryStore.h
@@ -3,12 +3,14 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The ready backend servers on a coordinator's own disk. After a loss of power
-// everywhere nobody knows one, and their heartbeats bring them back only over a
-// whole period; until then searches would lack shards.
+// Stores the ready backend servers on a coordinator's own disk. After a loss of
+// power on all machines no process knows any backend server, and receiving a
+// heartbeat from each of them takes a whole heartbeat period; until then searches
+// would lack shards.
 //
-// It is a hint and no promise: what was written last may be lost, and what is
-// read has to be confirmed by a heartbeat soon (BackendRegistry::restore()).
+// The stored state may be out of date: the latest changes may be lost, and each
+// restored record has to be confirmed by a heartbeat within the unconfirmed
+// timeout (BackendRegistry::restore()).
 
 #pragma once
 
@@ -22,19 +24,19 @@
 namespace Coordinator
 {
 
-/** Collects changes and writes them when told to. */
+/** Collects changes of backend servers in memory and appends them to a file with flush(). */
 class RegistryStore
 {
 public:
-    /** The backend servers that were ready when the file was last written; none when it can't be read. */
+    /** Reads the backend servers that were ready when the file was last written. An unreadable file gives none; a damaged one those before the damage. */
     [[nodiscard]] std::vector<Protocol::BackendAnnouncement> load(Storage::Folder &folder);
 
-    /** To be called for each change of a backend server. */
+    /** Collects a change of a backend server. Has to be called for each change. */
     void note(const Protocol::BackendAnnouncement &announcement);
 
     [[nodiscard]] bool hasUnwritten() const;
 
-    /** Writes what was noted and syncs it. After a failure the whole file is written anew the next time. */
+    /** Writes the collected changes and syncs the file. After a failure the next call rewrites the whole file. */
     [[nodiscard]] Core::Result<void> flush(Storage::Folder &folder);
 
 private:
@@ -42,10 +44,10 @@
     [[nodiscard]] Core::Result<void> rewrite(Storage::Folder &folder);
     void apply(const Protocol::BackendAnnouncement &announcement);
 
-    // The ready ones, by id.
+    // The ready backend servers by id, including unwritten changes.
     std::map<std::string, Protocol::BackendAnnouncement> ready;
     std::string unwritten;
-    // Of the file and of a file that held the ready ones only.
+    // Length of the file, and the length that a file with the ready backend servers only would have.
     std::size_t fileBytes{0};
     std::size_t readyBytes{0};
     bool mustRewrite{true};
--- a/Libraries/LibCoordinator/WatchService.cpp
+++ b/Libraries/LibCoordinator/WatchService.cpp
@@ -10,13 +10,13 @@
 namespace Coordinator
 {
 
-// Urgent news that comes within this time travels together; far below the seconds in which it has to be in force.
+// Urgent changes within this time are sent in one update. It is far below the seconds within which such a change has to take effect.
 static constexpr Core::Duration NewsDelay = Core::milliseconds(5);
-// The same for news of those that arrive, which nobody waits for. When hundreds of gateways start at the same moment each is news for all others:
-// told one by one, a hundred watchers of one coordinator keep it busy for as long as gateways arrive.
+// Other changes, such as arrivals, are sent in one update after this time, since no request waits for them. When hundreds of gateways start at the same
+// moment, each of them is an update for all others; with one update for each, a hundred watchers keep a coordinator busy for as long as gateways arrive.
 static constexpr Core::Duration ArrivalDelay = Core::milliseconds(100);
 static constexpr Core::Duration OverdueCheckPeriod = Core::milliseconds(100);
-// How long a question for a confirmation is held while there is no leader; about what an election takes.
+// How long a watch request for a confirmation is held while there is no known leader. An election takes about this long.
 static constexpr Core::Duration ConfirmationHold = Core::milliseconds(400);
 
 WatchService::WatchService(WatchServiceOptions options,
@@ -62,7 +62,8 @@
     return otherLife || this->hasRegistryNewsFor(request) || this->hasOrdersFor(request);
 }
 
-// Coordinators tell each other everything at once, since what one hears is to reach the watchers of all.
+// Whether an update has to be sent without the delay for arrivals. All changes are urgent for other coordinators, since they have to reach the watchers of
+// every coordinator, and for a watcher that has not received the registry from this incarnation yet.
 bool WatchService::hasUrgentNewsFor(const Protocol::WatchRequest &request) const
 {
     const bool toldNoBackends = request.cursor == 0 && this->registry.position() > 0;
@@ -79,7 +80,7 @@
 {
     WaitingWatcher watcher{.request = request, .done = done, .answerBy = this->timers.now() + this->options.hold};
     if (request.confirm) {
-        // Without a leader it is held for a while, so that the asker does not ask without pause.
+        // Without a known leader the request is held for a while, so that the watcher does not repeat it without a pause.
         watcher.answerBy = std::min(watcher.answerBy, this->timers.now() + ConfirmationHold);
         this->confirmWatcher(std::move(watcher));
         return;
@@ -109,7 +110,7 @@
     });
 }
 
-// One that hears from a leader since it was asked can confirm what it could not at first.
+// Tries again to confirm the held requests for a confirmation, which may succeed once this coordinator has a known leader.
 void WatchService::confirmWatchers()
 {
     std::list<WaitingWatcher> unconfirmed;
--- a/Libraries/LibCoordinator/WatchService.h
+++ b/Libraries/LibCoordinator/WatchService.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Holds the questions of gateways and other coordinators until there is news for
-// them, and puts the answers together.
+// Holds the watch requests of gateways and other coordinators until there is an
+// update for them, and builds the replies.
 
 #pragma once
 
@@ -16,15 +16,15 @@
 namespace Coordinator
 {
 
-/** How questions are held. */
+/** Settings of the watch service. */
 struct WatchServiceOptions {
-    /** Names this life of the coordinator; cursors of another life mean nothing. */
+    /** Identifies this incarnation of the coordinator. Cursors of another incarnation are not valid. */
     std::int64_t incarnation{0};
-    /** See CoordinatorOptions::longPollTimeout. */
+    /** A watch request for which there is no update is answered after this long (CoordinatorOptions::longPollTimeout). */
     Core::Duration hold{Core::milliseconds(1800)};
 };
 
-/** Looks at the log and the registries of its coordinator, which outlive it. */
+/** Answers watch requests from the log and the registries of its coordinator, which have to outlive it. */
 class WatchService
 {
 public:
@@ -36,12 +36,19 @@
     WatchService(const WatchService &) = delete;
     WatchService &operator=(const WatchService &) = delete;
 
-    /** Calls `done` once, when there is news or the question was held for long enough. */
+    /**
+     * Answers a watch request. `done` is called exactly once: as soon as there is an update or, if requested, a confirmation, and at the latest after the
+     * long-poll timeout.
+     */
     void watch(const Protocol::WatchRequest &request, const std::function<void(const Protocol::WatchReply &reply)> &done);
 
-    /** Something changed that watchers may want to know: at once who leaves and what is declared, a little later who arrives. */
+    /**
+     * Has to be called after each change of the log or of a registry. Watchers are notified of departures, declarations and evacuations within
+     * milliseconds, and of other changes after a longer delay.
+     */
     void scheduleNotification();
 
+    /** Number of watch requests that are held. */
     [[nodiscard]] std::size_t waitingCount() const;
 
 private:
@@ -57,14 +64,14 @@
     void confirmWatcher(WaitingWatcher watcher);
     void confirmWatchers();
     [[nodiscard]] bool hasRegistryNewsFor(const Protocol::WatchRequest &request) const;
-    /** Operators' orders that the watcher does not hold. */
+    /** Whether there are operators' orders that the watcher does not hold. */
     [[nodiscard]] bool hasOrdersFor(const Protocol::WatchRequest &request) const;
     [[nodiscard]] bool hasNewsFor(const Protocol::WatchRequest &request) const;
     [[nodiscard]] bool hasUrgentNewsFor(const Protocol::WatchRequest &request) const;
     void scheduleArrivals();
     void answerWatchersWithNews();
     void answerOverdueWatchers();
-    /** Answers those that a condition holds for, unconfirmed. */
+    /** Answers the held watch requests for which a condition is true, without a confirmation. */
     void answerWhere(const std::function<bool(const WaitingWatcher &watcher)> &condition);
     [[nodiscard]] std::vector<std::string> heardFor(const std::string &watcher);
 
@@ -74,7 +81,7 @@
     const Fleet::BackendRegistry &gateways;
     Core::TimerService &timers;
     std::list<WaitingWatcher> watchers;
-    // Up to when each coordinator knows whose heartbeats came here.
+    // By the name of a watching coordinator, up to when it has been told which ids sent heartbeats here.
     std::map<std::string, Core::Instant> heardUntil;
     Core::TimerSubscription newsTimer;
     Core::TimerSubscription arrivalTimer;
--- a/Libraries/LibFleet/BackendRegistry.cpp
+++ b/Libraries/LibFleet/BackendRegistry.cpp
@@ -17,7 +17,7 @@
 {
 }
 
-// What others act on; the sequence alone only shows that the backend server lives.
+// Whether two announcements differ in a field that watchers act on. A higher sequence alone only shows that the backend server still runs.
 static bool differs(const BackendAnnouncement &held, const BackendAnnouncement &incoming)
 {
     return held.phase != incoming.phase || held.address != incoming.address || held.serviceName != incoming.serviceName || held.slots != incoming.slots;
@@ -28,13 +28,13 @@
     return announcement.phase == BackendPhase::DRAINING || announcement.phase == BackendPhase::GONE;
 }
 
-// Silence is no step forward: a later heartbeat makes the backend server ready again.
+// The order in which phases follow each other. SILENT has the rank of READY, since a later heartbeat makes a silent backend server ready again.
 static int rankOf(BackendPhase::type phase)
 {
     return phase == BackendPhase::SILENT ? static_cast<int>(BackendPhase::READY) : static_cast<int>(phase);
 }
 
-// Of a deregistration that did not say which life it ends.
+// Whether an announcement is a deregistration that does not name the incarnation that it ends.
 static bool isFarewellOfAnyLife(const BackendAnnouncement &announcement)
 {
     return announcement.born == 0 && announcement.phase == BackendPhase::GONE;
@@ -44,18 +44,18 @@
 {
     const auto &held = record.announcement;
     if (announcement.born > held.born) {
-        // G6. A later life replaces the earlier one, whatever phase that was in.
+        // Rule G6: A later incarnation replaces the earlier one, whatever phase the earlier one was in.
         return true;
     }
     if (announcement.born < held.born && !isFarewellOfAnyLife(announcement)) {
-        // G6. What comes late of an earlier life changes nothing.
+        // Rule G6: A late announcement of an earlier incarnation changes nothing.
         return false;
     }
-    // G7. Nobody moves to another service within one life; it was written by somebody else.
+    // Rule G7: A backend server does not change its service within one incarnation, so an announcement that names another service was made by another process.
     const bool isForeign = !announcement.serviceName.empty() && !held.serviceName.empty() && announcement.serviceName != held.serviceName;
-    // G1. A phase never goes back, however new the heartbeat that says so.
+    // Rule G1: A phase never goes back, however high the sequence of the announcement is.
     const bool goesBack = rankOf(announcement.phase) < rankOf(held.phase);
-    // G2. Within one phase the higher sequence counts.
+    // Rule G2: Within one phase the announcement with the higher sequence prevails.
     const bool samePhase = rankOf(announcement.phase) == rankOf(held.phase);
     const bool outdated = samePhase && announcement.sequence <= held.sequence;
     return !isForeign && !goesBack && !outdated;
@@ -77,7 +77,7 @@
     }
     const bool isNewIncarnation = !isNew && announcement.born > record.announcement.born;
     if (isNewIncarnation) {
-        // Nothing of the earlier life holds on but the place in the row of changes.
+        // Everything recorded of the earlier incarnation is reset, except the position of its change, by which the record stands in byChange.
         record = BackendRecord{.announcement = {}, .farewellHoldsUntil = {}, .confirmBy = {}, .changedAt = record.changedAt};
     }
     const auto warmUntil = now + Core::milliseconds(announcement.warmupLeftMs);
@@ -107,7 +107,7 @@
 
 bool BackendRegistry::markGone(const std::string &id, Core::Instant now, std::int64_t born)
 {
-    // G3. One that is not known is remembered all the same, since its heartbeats may still be on their way.
+    // Rule G3: The deregistration of an unknown id is recorded as well, since heartbeats of that backend server may still arrive.
     BackendAnnouncement deregistration;
     deregistration.id = id;
     deregistration.born = born;
--- a/Libraries/LibFleet/BackendRegistry.h
+++ b/Libraries/LibFleet/BackendRegistry.h
@@ -3,9 +3,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The backend servers that announced themselves, as a coordinator or a gateway
-// knows them. News may come late, twice and in any order from several sides;
-// merging them gives the same table everywhere (docs/PLATFORM.md, rules G1 to G7).
+// The table of backend servers that a coordinator or a gateway builds from their
+// announcements. Announcements may arrive late, repeatedly and in any order from
+// several sources; the merge rules make every process that received the same
+// announcements hold the same table (docs/PLATFORM.md, rules G1 to G7).
 
 #pragma once
 
@@ -22,108 +23,116 @@
 namespace Fleet
 {
 
-/** The latest known life of a backend server. */
+/** The latest known incarnation of a backend server. */
 struct BackendRecord {
     Protocol::BackendAnnouncement announcement;
-    /** Until when it runs slowly after its start. */
+    /** When the warm-up of the backend server ends. */
     Core::Instant warmUntil;
-    /** When a heartbeat of it was last known to have been made. */
+    /** Start of the heartbeat timeout: the latest merge, remote heartbeat or restart of all timeouts. */
     Core::Instant lastHeartbeat;
-    /** When an announcement of it was last merged here. */
+    /** When an announcement was last merged into this record. */
     Core::Instant lastMerged;
-    /** Set when only a deregistration is known that did not say which life it ends: until when heartbeats may be late ones of that life. */
+    /**
+     * Set when the only thing known is a deregistration that did not name the incarnation it ends. Heartbeats before this time are discarded, since
+     * they may be late ones of that incarnation.
+     */
     std::optional<Core::Instant> farewellHoldsUntil;
-    /** Set while nothing but a coordinator's disk tells of it: until when a heartbeat has to come. */
+    /** Set while the record is unconfirmed, that is restored from disk without a heartbeat since: when it becomes silent unless a heartbeat is received. */
     std::optional<Core::Instant> confirmBy;
-    /** Position in the row of changes; grows with each change that others have to know. */
+    /** Position of the latest change in the sequence of changes that watchers receive. */
     std::int64_t changedAt{0};
 };
 
-/** How long things are remembered. */
+/** Retention and timeouts of a registry. */
 struct RegistryOptions {
-    /** A backend server that left or fell silent is remembered for this long, so that late news of it changes nothing. */
+    /** A record that is gone or silent is kept for this long, so that late announcements of an ended incarnation are recognized and discarded. */
     Core::Duration retention{Core::seconds(600)};
     /**
-     * A backend server that a coordinator read from its disk is taken for ready for this long without a heartbeat (HeartbeatTimes). Not longer than
-     * it takes, since one that left unnoticed still gets work meanwhile.
+     * An unconfirmed record, which a coordinator restored from disk, counts as ready for this long without a heartbeat (HeartbeatTimes). It is no longer
+     * than a heartbeat may take, since a backend server that left while the coordinator was down is sent requests meanwhile.
      */
     Core::Duration unconfirmedTimeout{Core::milliseconds(3500)};
     /**
-     * For how long after the deregistration of an unknown life heartbeats under its id are taken for late ones. Heartbeats come up to some seconds late;
-     * one that goes on for longer is of a life that started after the deregistration.
+     * For this long after a deregistration that did not name the incarnation, heartbeats with the same id are discarded as late ones. Heartbeats arrive up
+     * to some seconds late; one that arrives after this time is of an incarnation that started after the deregistration.
      */
     Core::Duration farewellHold{Core::seconds(10)};
     /**
-     * A backend server that has to run slowly for this much longer than was known turned cold again, which others have to know. More than a
-     * heartbeat is usually late, which moves the end of the same cold span.
+     * When the warm-up of a backend server ends more than this much later than was known, it has turned cold again and watchers are notified. The value is
+     * greater than the usual delay of a heartbeat, since a delay also moves the computed end of the same warm-up.
      */
     Core::Duration coldNews{Core::milliseconds(500)};
 };
 
-/** Merges announcements. */
+/** Merges announcements of backend servers, or of gateways, into one record for each id. */
 class BackendRegistry
 {
 public:
     explicit BackendRegistry(RegistryOptions options = {});
 
-    /** Takes a heartbeat over that came here from the backend server itself. Returns whether others have to know. */
+    /** Merges a heartbeat that was received directly from the backend server. Returns whether watchers have to be notified. */
     bool mergeHeartbeat(const Protocol::BackendAnnouncement &heartbeat, Core::Instant now);
 
-    /** Takes an announcement over. Returns whether others have to know. */
+    /** Merges an announcement from any source. Returns whether watchers have to be notified. */
     bool merge(const Protocol::BackendAnnouncement &announcement, Core::Instant now);
 
-    /** Takes over what a coordinator had on its disk. What is known already goes before it. */
+    /** Adds an unconfirmed record that a coordinator read from its disk. A record that exists already is left as it is. */
     void restore(const Protocol::BackendAnnouncement &announcement, Core::Instant now);
 
-    /** Marks those silent that were restored and made no heartbeat in time. Returns how many. */
+    /** Marks unconfirmed records silent whose unconfirmed timeout has ended. Returns how many. */
     std::size_t expireUnconfirmed(Core::Instant now);
 
-    /** The backend server said that it ends, or is known to have ended. `born` tells which life, 0 the known one. Returns whether that is news. */
+    /**
+     * Marks a backend server gone that deregistered or is known to have ended. `born` is the start time of the incarnation in Unix milliseconds, or 0 for
+     * the known one. Returns whether watchers have to be notified.
+     */
     bool markGone(const std::string &id, Core::Instant now, std::int64_t born = 0);
 
-    /** A heartbeat of this one reached another coordinator. */
+    /** Records that another coordinator received a heartbeat with this id. An unknown id is ignored. */
     void recordRemoteHeartbeat(const std::string &id, Core::Instant now);
 
-    /** Ids whose heartbeats were taken over by merge() after a time, whether or not they were news. */
+    /** Ids of the records into which an announcement was merged after `time`, whether or not it changed them, except those that are gone. */
     [[nodiscard]] std::vector<std::string> mergedSince(Core::Instant time) const;
 
-    /** Those that are ready, in no order. Valid until the next change. */
+    /** Announcements of the ready backend servers, in no order. The pointers are valid until the next change. */
     [[nodiscard]] std::vector<const Protocol::BackendAnnouncement *> ready() const;
-    /** How many are ready, and how many of these are in one availability zone. */
     [[nodiscard]] int readyCount() const;
+    /** How many ready backend servers are in one availability zone. */
     [[nodiscard]] int readyCountIn(const std::string &zone) const;
 
-    /** Marks those silent that made no heartbeat for a time, and those gone that were leaving. Returns how many. */
+    /** Applies the heartbeat timeout: ready backend servers that exceed it become silent, draining ones become gone. Returns how many. */
     std::size_t expire(Core::Instant now, Core::Duration silence);
 
-    /** Starts the count of silence anew for all, after this process itself was stopped for a while. */
+    /** Restarts the heartbeat timeout of every record, for use after this process could not receive heartbeats for a while. */
     void restartHeartbeatTimeouts(Core::Instant now);
 
-    /** Forgets records that are gone for longer than the retention. */
+    /** Removes records that have been gone or silent for longer than the retention. */
     void forget(Core::Instant now);
 
+    /** The record with this id, or nullptr. */
     [[nodiscard]] const BackendRecord *find(const std::string &id) const;
-    /** Records that changed after a position. */
+    /** The latest announcements of the records that changed after a position, in the order of their changes. */
     [[nodiscard]] std::vector<Protocol::BackendAnnouncement> changedSince(std::int64_t position, Core::Instant now) const;
-    /** Of these, only those that drain or are gone. */
+    /** The departures among changedSince(): backend servers that are draining or gone. */
     [[nodiscard]] std::vector<Protocol::BackendAnnouncement> departuresSince(std::int64_t position, Core::Instant now) const;
+    /** Position of the latest change; 0 when there was none. */
     [[nodiscard]] std::int64_t position() const;
-    /** Position of the latest change of one that drains or is gone. */
+    /** Position of the latest departure; 0 when there was none. */
     [[nodiscard]] std::int64_t departurePosition() const;
     [[nodiscard]] std::size_t size() const;
 
-    /** Called for each record that others have to know of, after it changed. */
+    /** Called after each change that watchers have to be notified of. */
     std::function<void(const BackendRecord &record)> changed;
 
 private:
-    /** Whether an announcement may change what is held of its backend server. */
+    /** Whether the merge rules let an announcement change the record of its backend server. */
     [[nodiscard]] static bool isCurrent(const BackendRecord &record, const Protocol::BackendAnnouncement &announcement);
     void noteChange(BackendRecord &record);
     void markSilent(Protocol::BackendAnnouncement announcement, Core::Instant now);
 
     RegistryOptions options;
     std::unordered_map<std::string, BackendRecord> records;
-    // Invariant: one item for each record, so that a watcher gets what it misses without a walk over all records.
+    // Invariant: one item for each record, by the position of its latest change, so that a watcher's update is found without iterating all records.
     std::map<std::int64_t, std::string> byChange;
     std::int64_t changes{0};
     std::int64_t latestLeaver{0};
--- a/Libraries/LibFleet/Declaration.h
+++ b/Libraries/LibFleet/Declaration.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What operators declare for routed requests: routes, services and limits of
-// one version. Whoever reads the declaration's text (an adapter) makes this.
+// The parsed form of a declaration, the operators' configuration of routed
+// requests: routes, services, workspaces and limits. An adapter of the platform
+// creates it from the declaration's text.
 
 #pragma once
 
@@ -24,54 +25,54 @@
 namespace Fleet
 {
 
-/** Number that the operator gave a declaration; the highest one counts. */
+/** Version number that the operator assigned to a declaration. The declaration with the highest version is active. */
 using DeclarationVersion = Core::StrongValue<struct DeclarationVersionTag, std::int64_t>;
 
-/** One service. */
+/** A service, which backend servers provide. */
 struct DeclaredService {
     Core::ServiceName name;
-    /** Connections that one backend server takes from all callers together. */
+    /** Connections that one backend server accepts from all clients together. */
     int connectionCap{1};
-    /** How long a backend server of it is cold after a start, and again at times. */
+    /** How long a backend server of this service warms up after a start. It may turn cold again later. */
     Core::Duration warmupTime{0};
-    /** Requests a second that a cold one bears from all callers together; 0 where nothing is declared, and then nothing bounds them. */
+    /** Requests per second that a cold backend server can serve from all clients together; 0 when not declared, and then there is no warm-up limit. */
     double warmupRequestsPerSecond{0.0};
 };
 
-/** A service that gets a part of a route's requests. */
+/** A service that receives a share of a route's requests. */
 struct WeightedService {
     Core::ServiceName service;
-    /** Relative to the other parts; 0 gets nothing. */
+    /** The share in proportion to the other weights of the route; a service with weight 0 receives no requests. */
     double weight{1.0};
 };
 
-/** How requests with one host and path prefix are treated. */
+/** How requests with one host and path prefix are served. */
 struct Route {
     std::string name;
     std::string host;
     /** Begins and ends with a slash. */
     std::string pathPrefix;
-    /** Whether a request may run more than once. */
+    /** Whether a request may be executed more than once. */
     bool idempotent{false};
-    /** The longest time that a request is held. */
+    /** The longest time from the receipt of a request to its answer. */
     Core::Duration timeout{0};
-    /** An answer within this time is worth most to the caller. */
+    /** The time within which an answer should leave; later answers are worth less to the caller. */
     Core::Duration targetLatency{0};
     /** 0 is most urgent. */
     int priority{0};
-    /** Backend servers that one request may go to, for each shard. */
+    /** How many backend servers one request may be sent to, for each shard. */
     int maximumAttempts{1};
-    /** Invariant: empty exactly when `shards` is not. */
+    /** The services of a route without fan-out. Invariant: exactly one of `targets` and `shards` is empty. */
     std::vector<WeightedService> targets;
-    /** Services that each hold one shard; a request goes to all of them. */
+    /** The services of a fan-out route. Each of them holds one shard, and a request is sent to all of them. */
     std::vector<Core::ServiceName> shards;
-    /** Records in a merged answer. */
+    /** The largest number of records in a merged answer. */
     std::size_t topRecords{0};
-    /** The smallest share of the shards with which an answer counts. */
+    /** The smallest fraction of the shards, from 0 to 1, that an answer has to cover. */
     double minimumCoverage{1.0};
-    /** Where its requests may be served. */
+    /** Regions in which the route's requests may be served. */
     AllowedRegions allowedRegions;
-    /** Whether its requests need no API key. */
+    /** Whether requests are accepted without an API key. */
     bool isPublic{false};
 
     [[nodiscard]] bool isFanOut() const
@@ -80,7 +81,7 @@
     }
 };
 
-/** What callers may send. */
+/** Limits on the requests and connections of callers. */
 struct CallerLimits {
     std::size_t headerBytes{16 * 1024};
     std::size_t bodyBytes{256 * 1024};
@@ -88,33 +89,33 @@
     Core::Duration idleTimeout{Core::seconds(60)};
 };
 
-/** One version of everything. Never changed once made. */
+/** One version of the declaration. Immutable once created. */
 struct Declaration {
     DeclarationVersion version;
     std::vector<Route> routes;
     std::map<Core::ServiceName, DeclaredService> services;
-    /** Nothing where requests need no API keys. A table without workspaces lets in nobody but on public routes. */
+    /** Unset when requests need no API key. With a table that holds no workspaces, requests are accepted on public routes only. */
     std::optional<WorkspaceTable> workspaces;
     CallerLimits limits;
 
-    /** The workspace of that name, or nullptr. */
+    /** The workspace with this name, or nullptr. */
     [[nodiscard]] const Workspace *workspaceNamed(const WorkspaceName &name) const;
 };
 
-/** Finds routes by host and longest path prefix. */
+/** Finds the route of a request by its host and the longest matching path prefix. */
 class RouteTable
 {
 public:
     explicit RouteTable(std::shared_ptr<const Declaration> declaration);
 
-    /** The route, or nullptr. `host` may carry a port; `target` may carry a query. */
+    /** The matching route, or nullptr. `host` may contain a port; `target` may contain a query. Hosts are compared without regard to case. */
     [[nodiscard]] const Route *match(std::string_view host, std::string_view target) const;
 
     [[nodiscard]] const Declaration &declaration() const;
 
 private:
     std::shared_ptr<const Declaration> source;
-    // By host, and there by prefix, so that a look-up walks the path's slashes and not the routes.
+    // Routes by host and then by path prefix, so that the cost of a look-up depends on the number of slashes in the path and not on the number of routes.
     std::unordered_map<std::string, std::unordered_map<std::string, const Route *>> hosts;
 };
 
--- a/Libraries/LibFleet/FleetWatcher.cpp
+++ b/Libraries/LibFleet/FleetWatcher.cpp
@@ -15,7 +15,7 @@
 namespace Fleet
 {
 
-// The longest declaration that is taken.
+// The longest declaration text that is accepted.
 static constexpr std::size_t MaximumTextBytes = 16 * 1024 * 1024;
 
 FleetWatcher::FleetWatcher(WatcherOptions options, BackendRegistry &backends, BackendRegistry &gateways, Core::TimerService &timers)
@@ -98,7 +98,8 @@
     return inSameRegion(this->options.regions, this->options.zone, watched.zone) ? 1 : 2;
 }
 
-// The near ones that work go first; among equals each watcher has an order of its own, so that watchers spread.
+// All coordinators, in the order in which they are preferred: working ones before failing ones, then those with a known leader, then those at a shorter
+// distance. Watchers order equal coordinators differently, so that they spread over them.
 std::vector<FleetWatcher::Watched *> FleetWatcher::ranked()
 {
     const auto now = this->timers.now();
@@ -126,7 +127,8 @@
     return rows;
 }
 
-// The nearest one tells everything and the next ones of leavers; the others only confirm, since their bytes would be the same again.
+// The first coordinator sends all changes of the registry and the other selected ones send departures only. A coordinator that is not
+// selected sends no changes, since its bytes would be the same again.
 Protocol::RegistryInterest::type FleetWatcher::interestIn(const Watched &watched)
 {
     using Protocol::RegistryInterest;
@@ -134,7 +136,7 @@
         return RegistryInterest::EVERYTHING;
     }
     const auto rows = this->ranked();
-    // Until a coordinator has told where it and the others are, the near ones can't be known.
+    // The zones of the coordinators are unknown until one of them has replied, so this coordinator may be in another region.
     const bool mayBeFar = rows.size() > 1 && watched.zone.empty() && this->timers.now() - watched.addedAt < this->options.nearPatience;
     if (mayBeFar) {
         return RegistryInterest::NOTHING;
@@ -151,7 +153,8 @@
     for (auto *watched : this->chosen()) {
         const bool toldLess = watched->asking && watched->askedInterest != Protocol::RegistryInterest::EVERYTHING;
         if (toldLess && this->interestIn(*watched) == Protocol::RegistryInterest::EVERYTHING) {
-            // The nearest one has failed, and this one takes its place: it may hold the question that it has for long.
+            // This coordinator is now the first one, since the previous one failed. It may hold the request in flight for long, so that request is
+            // abandoned and the whole registry is requested at once.
             dropQuestion(*watched);
         }
         if (!watched->retry.isActive()) {
@@ -237,12 +240,12 @@
         }
         const auto rows = this->chosen();
         const bool wanted = std::find(rows.begin(), rows.end(), &found->second) != rows.end();
-        // One that fails is asked now and then all the same, to notice that it is back.
+        // An unreachable coordinator is sent watch requests even when it is not selected, so that its recovery is noticed.
         if (wanted || !found->second.reachable) {
             this->ask(found->second);
         } else {
             dropQuestion(found->second);
-            // What it said of its leader is out of date by the time that it is needed again.
+            // Its last reply about the leader will be out of date when it is selected again, so a known leader is assumed.
             found->second.hasLeader = true;
         }
         this->askChosen();
@@ -281,9 +284,9 @@
         this->confirmedVersion = answer.declarationVersion;
         Core::logEvent(Core::LogLevel::Information, "declaration.confirmed", {{"version", answer.declarationVersion}, {"coordinator", endpoint.toString()}});
     }
-    // NOTE: Asked from the loop, so that a coordinator that answers at once can't keep this function from returning. One that told of a
-    //       declaration without its text is asked after a pause, to want the text from it if it has not come from the first one by then. But a
-    //       confirmation is not to wait for that, since nothing is answered before there is one.
+    // NOTE: The next watch request is sent from the event loop, so that a coordinator that replies at once can't keep this function from returning. When the
+    //       text of a newer declaration is missing, the request is delayed, so that it asks this coordinator for the text only if the first one has not sent
+    //       it by then. It is not delayed while a confirmation is awaited, since no search is answered before the confirmation.
     const bool textMissing = this->options.wantsOrders && this->newestKnown > this->held() && !this->wantsConfirmation;
     this->askLater(endpoint, textMissing ? this->options.declarationFallbackDelay : Core::Duration(0));
     this->askChosen();
@@ -326,7 +329,7 @@
     return this->evacuated;
 }
 
-// They come whole with each answer to a question that named an older revision, so whoever was confirmed to be current holds them.
+// A reply to a watch request with an older revision contains all evacuations, so a watcher whose state was confirmed holds the newest ones.
 void FleetWatcher::applyEvacuations(const Protocol::WatchReply &reply)
 {
     if (!reply.__isset.evacuations || reply.evacuations.revision <= this->evacuated.revision) {
@@ -345,12 +348,13 @@
         return;
     }
     if (!reply.__isset.declaration && askedFrom != this->heldTextVersion) {
-        // Another coordinator's answer came in between, so the delta is not from the text that is held now. The next question says which one is.
+        // The reply of another coordinator was applied after this request was sent, so the delta is based on a text other than the one held now. The next
+        // watch request names the version that is held.
         return;
     }
     auto text = reply.__isset.declaration ? expandText(reply.declaration, MaximumTextBytes) : applyTextDelta(this->heldText, reply.declarationDelta);
     if (!text.has_value()) {
-        // Asked for whole next time.
+        // Without a held text the next watch request asks for the whole text.
         Core::logEvent(Core::LogLevel::Error, "declaration.unreadable", {{"version", reply.declarationVersion}, {"error", text.error().message}});
         this->heldText.clear();
         this->heldTextVersion = -1;
@@ -372,7 +376,7 @@
     }
     const bool othersAnswer = this->reachableCount() > 0;
     if (othersAnswer && this->timers.now() - watched.lastAnswer >= this->options.removalTimeout) {
-        // One that comes back is named again by the others.
+        // A removed coordinator that recovers is added again, since the replies of the others name it.
         Core::logEvent(Core::LogLevel::Information, "coordinator.given_up", {{"coordinator", endpoint.toString()}});
         this->table.erase(endpoint);
         return;
--- a/Libraries/LibFleet/FleetWatcher.h
+++ b/Libraries/LibFleet/FleetWatcher.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Watches coordinators and takes their news over: backend servers, gateways, the
-// declaration, and which other coordinators there are. Gateways use it, and
-// coordinators watch each other with it.
+// Watches coordinators by long poll and applies their updates: backend servers,
+// gateways, the declaration, the evacuated zones and the other coordinators.
+// Gateways watch coordinators with it, and coordinators watch each other.
 
 #pragma once
 
@@ -22,37 +22,39 @@
 namespace Fleet
 {
 
-/** Who watches, and how patiently. */
+/** Identity of a watcher, what it watches, and its timeouts. */
 struct WatcherOptions {
     std::string name;
     std::string zone;
     RegionOfZone regions;
-    /** Never watched: the watcher itself. */
+    /** Endpoint of the watcher itself, if it is a coordinator; it is never watched. */
     Core::Endpoint own;
-    /** How many coordinators are watched at once; any more are known, but asked only when these fail. */
+    /** How many coordinators are watched at once. Further coordinators are known, but are sent watch requests only when these fail. */
     std::size_t maximumWatched{2};
-    /** Whether operators' orders are wanted, and whose heartbeats coordinators heard. */
+    /** Whether updates contain operators' orders: the declaration and the evacuated zones. */
     bool wantsOrders{true};
+    /** Whether updates contain the ids whose heartbeats reached the coordinator. */
     bool wantsHeard{false};
     /**
-     * A coordinator that does not answer for this long is asked over a new connection. Longer than coordinators
-     * hold a question (CoordinatorOptions::longPollTimeout), and short enough that a healed network is used within three seconds.
+     * A watch request without a reply for this long fails and is sent again over a new connection. It is longer than a coordinator holds a watch request
+     * (CoordinatorOptions::longPollTimeout), and short enough that a healed network is used within three seconds.
      */
     Core::Duration responseTimeout{Core::milliseconds(2800)};
-    /** Pause after a failed question. */
+    /** Delay before the next watch request to a coordinator after one failed. */
     Core::Duration retryPause{Core::milliseconds(200)};
-    /** A declaration that the first coordinator has not sent after this long is wanted of the others, too. */
+    /** A declaration that the first coordinator has not sent this long after its version became known is requested from the other coordinators, too. */
     Core::Duration declarationFallbackDelay{Core::milliseconds(300)};
     /**
-     * A fresh watcher waits this long for near coordinators before it takes the registry from far ones, whose bytes are dear: they
-     * answer a connection within a round trip once they listen, and a first packet that is lost is tried again after 0.3 s.
+     * A new watcher waits this long for coordinators of its own zone and region before it requests the registry from those of other regions, since
+     * cross-region traffic is expensive. A coordinator that listens accepts a connection within a round trip, and a lost first packet is sent again after
+     * 0.3 s.
      */
     Core::Duration nearPatience{Core::milliseconds(500)};
-    /** One that is no longer named by others is given up after this long without an answer. */
+    /** A failing coordinator is removed after this long without a reply, while others reply. It is added again when a reply names it. */
     Core::Duration removalTimeout{Core::seconds(20)};
 };
 
-/** Declarations are taken as bytes; whoever reads them decides whether they are used. */
+/** Watches several coordinators at once. A declaration is passed on as text; the owner of the watcher validates it and decides whether it becomes active. */
 class FleetWatcher
 {
 public:
@@ -60,32 +62,36 @@
     FleetWatcher(const FleetWatcher &) = delete;
     FleetWatcher &operator=(const FleetWatcher &) = delete;
 
-    /** Adds coordinators to those that may be watched. */
+    /** Adds coordinators that may be watched and sends watch requests to the selected ones. */
     void addCoordinators(const std::vector<Core::Endpoint> &endpoints);
 
-    /** Asks from now on for an answer that is confirmed to be current, until one came. */
+    /** Requests a confirmation with each watch request until a coordinator replies that its declaration and evacuations are confirmed to be the newest. */
     void requestConfirmation();
 
-    /** Whether what is held was confirmed to be the newest after the confirmation was wanted. */
+    /** Whether the declaration version that is held here was confirmed to be the newest since requestConfirmation() was called. */
     [[nodiscard]] bool isConfirmed() const;
-    /** Coordinators that answered lately. */
+    /** Number of coordinators that are reachable, that is whose latest watch request did not fail. */
     [[nodiscard]] std::size_t reachableCount() const;
+    /** Endpoints of all known coordinators, whether or not they are watched. */
     [[nodiscard]] std::vector<Core::Endpoint> coordinators() const;
-    /** When the latest question was asked that a coordinator answered which hears from a leader and tells everything: what is known here is newer. */
+    /**
+     * When the latest watch request for the whole registry was sent that was answered by a coordinator with a known leader. The state held here is at least
+     * as recent as this time.
+     */
     [[nodiscard]] std::optional<Core::Instant> lastLeaderSync() const;
-    /** Whether any coordinator has answered yet. */
+    /** Whether any coordinator has replied yet. */
     [[nodiscard]] bool hasReceivedUpdate() const;
 
-    /** The version that is held already; asked before each question. */
+    /** Returns the declaration version that the owner holds. Called before each watch request and each look at the held version. */
     std::function<DeclarationVersion()> knownVersion;
-    /** What the watcher says of itself, when it is a gateway that takes requests. */
+    /** Returns the own announcement that is sent with each watch request, when the watcher is a gateway that accepts requests. */
     std::function<std::optional<Protocol::BackendAnnouncement>()> ownAnnouncement;
-    /** The evacuated zones as far as this watcher knows. */
+    /** The newest evacuations that this watcher has received. */
     [[nodiscard]] const Protocol::Evacuations &evacuations() const;
 
-    /** The evacuated zones changed. */
+    /** Called when the evacuated zones changed. */
     std::function<void(const Protocol::Evacuations &evacuations)> evacuationsChanged;
-    /** A newer declaration came. */
+    /** Called with each newer declaration that is received. */
     std::function<void(DeclarationVersion version, const std::string &content)> declarationReceived;
 
 private:
@@ -97,23 +103,24 @@
         std::int64_t incarnation{0};
         std::int64_t cursor{0};
         std::int64_t gatewayCursor{0};
-        // Up to the cursors it has told of everything, not only of leavers.
+        // Whether its updates up to the cursors contained all changes and not only departures.
         bool toldEverything{false};
         bool asking{false};
-        // The question that is under way. What comes for another one is passed over, since a channel that is dropped lives on until its call has ended.
+        // Number of the watch request in flight. The outcome of another one is discarded: an abandoned request may still end, since its channel exists
+        // until the call has ended.
         std::uint64_t question{NoQuestion};
-        // Of the question that is under way.
+        // The registry interest of the watch request in flight.
         Protocol::RegistryInterest::type askedInterest{Protocol::RegistryInterest::NOTHING};
         bool reachable{false};
-        // The last question failed. One that was never asked is neither reachable nor failing.
+        // Whether the last watch request failed. A coordinator that was never sent one is neither reachable nor failing.
         bool failing{false};
-        // Whether it hears from a leader; one that does not may miss declarations.
+        // Whether the coordinator has a known leader. One without may not know the newest declaration.
         bool hasLeader{true};
-        // This watcher's own order among coordinators that are equally near.
+        // Rank among coordinators at the same distance. It differs between watchers, so that they spread over the coordinators.
         std::size_t order{0};
         Core::Instant addedAt;
         Core::Instant lastAnswer;
-        // When the question that is under way was asked.
+        // When the watch request in flight was sent.
         Core::Instant askedAt;
         Core::TimerSubscription retry;
     };
@@ -141,18 +148,18 @@
     BackendRegistry &gateways;
     Core::TimerService &timers;
     std::map<Core::Endpoint, Watched> table;
-    // Invariant: no two questions have the same number, also when a coordinator was given up and is watched again meanwhile.
+    // Invariant: no two watch requests have the same number, even to a coordinator that was removed and added again in between.
     std::uint64_t lastQuestion{NoQuestion};
     bool wantsConfirmation{false};
-    // The version that a quorum confirmed to be the newest; its text may still be on the way.
+    // The declaration version that a quorum confirmed to be the newest. Its text may not have been received yet.
     std::optional<std::int64_t> confirmedVersion;
     Protocol::Evacuations evacuated;
     bool anyAnswer{false};
     std::optional<Core::Instant> leaderKnown;
-    // The text of the version that is held, as a base for deltas. Not compressed, since it is needed at each change.
+    // The text of the last received declaration, as the base of the next delta. Not compressed, since each change needs it.
     std::string heldText;
     std::int64_t heldTextVersion{-1};
-    // The newest version that any coordinator told of, and since when.
+    // The newest declaration version that any coordinator named, and when it was first named.
     std::int64_t newestKnown{-1};
     Core::Instant newestKnownSince;
     std::shared_ptr<int> alive{std::make_shared<int>(0)};
--- a/Libraries/LibFleet/HeartbeatTimes.h
+++ b/Libraries/LibFleet/HeartbeatTimes.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What is derived from how often backend servers call, all in one place.
+// Timeouts that are derived from the heartbeat period of the backend servers.
 
 #pragma once
 
@@ -14,26 +14,29 @@
 namespace Fleet
 {
 
-/** How long heartbeats are waited for, by whom. */
+/** Timeouts of coordinators and gateways that depend on the heartbeat period. */
 struct HeartbeatTimes {
-    /** A single heartbeat comes up to this much late. */
+    /** The longest delay of a single heartbeat. */
     static constexpr Core::Duration Lateness = Core::milliseconds(2300);
-    /** Fewer heartbeats missing in a row, or less silence, prove nothing. */
+    /**
+     * A backend server counts as silent only after it missed this many heartbeats in a row and after the minimum heartbeat timeout. Less than that does not
+     * show that it has ended.
+     */
     static constexpr int MissedInSilence = 4;
     static constexpr Core::Duration LeastSilence = Core::seconds(20);
 
-    /** A coordinator that has just started takes a backend server on its disk for ready for this long without a heartbeat. */
+    /** A coordinator that has just started treats a backend server that it restored from disk as ready for this long without a heartbeat. */
     Core::Duration unconfirmedTimeout{0};
-    /** A backend server without a heartbeat for this long is taken for gone. */
+    /** A backend server from which no heartbeat was received for this long becomes silent, or gone if it was draining. */
     Core::Duration silence{0};
-    /** Within this time after its first news a gateway knows every backend server that calls. */
+    /** This long after its first update a gateway knows every backend server that sends heartbeats. */
     Core::Duration allHeard{0};
 
     [[nodiscard]] static HeartbeatTimes of(Core::Duration period)
     {
         return {.unconfirmedTimeout = period + Lateness,
             .silence = std::max(LeastSilence, MissedInSilence * period),
-            // Two periods, and the way from a coordinator.
+            // Two heartbeat periods, and the time that an update takes from a coordinator to a gateway.
             .allHeard = 2 * period + Core::milliseconds(200)};
     }
 };
--- a/Libraries/LibFleet/Regions.h
+++ b/Libraries/LibFleet/Regions.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which availability zones lie in the same region, and which regions a request
-// may be served in. Pure.
+// The regions of availability zones, and the regions in which a request may be
+// served. Without side effects.
 
 #pragma once
 
@@ -19,32 +19,33 @@
 /** Region of each availability zone, by name. */
 using RegionOfZone = std::map<std::string, std::string>;
 
-/** Whether two availability zones lie in the same region. A zone that is not in the table shares its region with itself alone. */
+/** Whether two availability zones lie in the same region. A zone that is not in the table forms a region of its own. */
 [[nodiscard]] bool inSameRegion(const RegionOfZone &regions, const std::string &left, const std::string &right);
 
 /** The regions in which a request may be served. */
 class AllowedRegions
 {
 public:
-    /** Any region, also an unknown one. */
+    /** Allows every region, unknown ones included. */
     AllowedRegions() = default;
 
-    /** These and no others; with none of them, nowhere. */
+    /** Allows the named regions only; an empty set allows none. */
     [[nodiscard]] static AllowedRegions only(std::set<std::string> names);
 
+    /** Whether every region is allowed. */
     [[nodiscard]] bool isAnywhere() const;
 
-    /** The name of an unknown region is empty, and is allowed only where any is. */
+    /** Whether a region is allowed. An unknown region has the empty name and is allowed only when every region is. */
     [[nodiscard]] bool allows(const std::string &region) const;
 
-    /** What is allowed by both. */
+    /** The regions that both allow. */
     [[nodiscard]] AllowedRegions intersectedWith(const AllowedRegions &other) const;
 
-    /** The names, where not any region is allowed. */
+    /** The names of the allowed regions; unset when every region is allowed. */
     [[nodiscard]] const std::optional<std::set<std::string>> &names() const;
 
 private:
-    // Invariant: nothing where any region is allowed. An empty set allows none.
+    // Invariant: unset when every region is allowed. An empty set allows none.
     std::optional<std::set<std::string>> regions;
 };
 
--- a/Libraries/LibFleet/TextDelta.cpp
+++ b/Libraries/LibFleet/TextDelta.cpp
@@ -14,11 +14,11 @@
 namespace Fleet
 {
 
-// Bytes that have to be the same before they are copied; shorter ones cost as much to name as to send.
+// The shortest run of equal bytes that a delta copies from the earlier text. A reference to a shorter run is as long as the bytes themselves.
 static constexpr std::size_t BlockBytes = 32;
-// Multiplier of the rolling hash; any large odd number does.
+// Multiplier of the rolling hash. Any large odd number is suitable.
 static constexpr std::uint64_t HashFactor = 0x9E3779B97F4A7C15ULL;
-// The first bytes of a compressed text tell its length.
+// A compressed text starts with its uncompressed length in this many bytes, little-endian.
 static constexpr std::size_t LengthBytes = 8;
 
 static std::uint32_t checksum(std::string_view text)
@@ -29,7 +29,7 @@
 namespace
 {
 
-/** A hash over BlockBytes bytes that moves on by one byte at a time. */
+/** A rolling hash over a window of BlockBytes bytes. */
 class RollingHash
 {
 public:
@@ -132,13 +132,13 @@
         const auto size = static_cast<std::int64_t>(before.size());
         const bool fits = piece.copyFrom >= 0 && piece.copyLength >= 0 && piece.copyFrom <= size && piece.copyLength <= size - piece.copyFrom;
         if (!fits || after.size() > static_cast<std::size_t>(Rpc::MaximumStringBytes)) {
-            return Core::failure(Core::ErrorKind::Corruption, "the delta does not fit to the text");
+            return Core::failure(Core::ErrorKind::Corruption, "text delta copies bytes beyond the end of its base text, or its result is too long");
         }
         after += before.substr(static_cast<std::size_t>(piece.copyFrom), static_cast<std::size_t>(piece.copyLength));
     }
     const bool same = static_cast<std::int64_t>(after.size()) == delta->length && static_cast<std::int64_t>(checksum(after)) == delta->checksum;
     if (!same) {
-        return Core::failure(Core::ErrorKind::Corruption, "the delta does not lead to the text that it was made for");
+        return Core::failure(Core::ErrorKind::Corruption, "text delta gave a result with another length or checksum than stated");
     }
     return after;
 }
@@ -159,14 +159,14 @@
 Core::Result<std::string> expandText(std::string_view bytes, std::size_t maximumBytes)
 {
     if (bytes.size() < LengthBytes) {
-        return Core::failure(Core::ErrorKind::Corruption, "a compressed text is cut short");
+        return Core::failure(Core::ErrorKind::Corruption, "compressed text is truncated within its length field");
     }
     std::uint64_t length = 0;
     for (std::size_t index = 0; index < LengthBytes; ++index) {
         length |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[index])) << (8 * index);
     }
     if (length > maximumBytes) {
-        return Core::failure(Core::ErrorKind::Corruption, "a compressed text is longer than allowed");
+        return Core::failure(Core::ErrorKind::Corruption, "compressed text expands to more bytes than allowed");
     }
     std::string text(length, '\0');
     uLongf expanded = static_cast<uLongf>(length);
@@ -174,7 +174,7 @@
     const int outcome
         = uncompress(reinterpret_cast<Bytef *>(text.data()), &expanded, reinterpret_cast<const Bytef *>(source.data()), static_cast<uLong>(source.size()));
     if (outcome != Z_OK || expanded != length) {
-        return Core::failure(Core::ErrorKind::Corruption, "the bytes are no compressed text");
+        return Core::failure(Core::ErrorKind::Corruption, "compressed text is invalid or does not have its stated length");
     }
     return text;
 }
--- a/Libraries/LibFleet/TextDelta.h
+++ b/Libraries/LibFleet/TextDelta.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The way from one text to a later one that is mostly the same, and compressed
-// texts. A declaration with thousands of routes changes by one route at a time
-// and goes to every gateway. Pure.
+// Deltas between two versions of a text, and compression of texts. A declaration
+// may have thousands of routes, changes by one route at a time and is sent to
+// every gateway, so a delta saves most of its bytes. Without side effects.
 
 #pragma once
 
@@ -17,16 +17,16 @@
 namespace Fleet
 {
 
-/** What turns `before` into `after`. Never much longer than `after`. */
+/** Returns a serialized delta that turns `before` into `after`. It is never much longer than `after`. */
 [[nodiscard]] std::string makeTextDelta(std::string_view before, std::string_view after);
 
-/** Carries a delta out. Fails with Corruption when it does not fit to `before` or the outcome is not what it was made for. */
+/** Applies a delta. Fails with Corruption when the delta is unreadable, was made for a text other than `before`, or gives a result with another checksum. */
 [[nodiscard]] Core::Result<std::string> applyTextDelta(std::string_view before, std::string_view delta);
 
-/** Smaller bytes for the same text (zlib). */
+/** Compresses a text with zlib, after eight bytes that hold its length. */
 [[nodiscard]] std::string compressText(std::string_view text);
 
-/** Fails with Corruption when the bytes are no compressed text, or one over `maximumBytes`. */
+/** Expands a compressed text. Fails with Corruption when the bytes are not a compressed text or the text is longer than `maximumBytes`. */
 [[nodiscard]] Core::Result<std::string> expandText(std::string_view bytes, std::size_t maximumBytes);
 
 }
--- a/Libraries/LibFleet/Workspaces.h
+++ b/Libraries/LibFleet/Workspaces.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The workspaces that a declaration names, and which one a caller's API key
-// belongs to. Keys are kept as digests only.
+// The workspaces of a declaration, and the look-up of the workspace to which a
+// caller's API key belongs. API keys are stored as digests only.
 
 #pragma once
 
@@ -22,10 +22,10 @@
 namespace Fleet
 {
 
-/** Name of a workspace: whose requests these are. */
+/** Name of a workspace, on whose behalf requests are sent. */
 using WorkspaceName = Core::StrongValue<struct WorkspaceNameTag, std::string>;
 
-/** A caller's secret. Never logged, sent on, or part of an error. */
+/** A caller's API key. It is secret: it is never logged, forwarded or included in an error. */
 using ApiKey = Core::StrongValue<struct ApiKeyTag, std::string>;
 
 /** SHA-256 of an API key. */
@@ -33,11 +33,11 @@
 
 [[nodiscard]] ApiKeyDigest digestOf(const ApiKey &key);
 
-/** How many requests a workspace may send, over all gateways together. */
+/** The rate of requests that a workspace may send to all gateways together. */
 struct Quota {
-    /** In the long run; 0 where nothing bounds it. */
+    /** The average rate; 0 means unbounded. */
     double requestsPerSecond{0.0};
-    /** Above that, at once. */
+    /** Requests that may be sent at once in excess of the average rate. */
     double burst{0.0};
 
     [[nodiscard]] bool isBounded() const
@@ -48,39 +48,39 @@
     auto operator<=>(const Quota &) const = default;
 };
 
-/** One workspace, without its keys. */
+/** One workspace, without its API keys. */
 struct Workspace {
     WorkspaceName name;
-    /** 0 is most urgent; goes before the priority of a route. */
+    /** 0 is most urgent. Requests are ordered by this priority before that of the route. */
     int priority{0};
     Quota quota;
-    /** Where its requests may be served; what a route allows binds, too. */
+    /** Regions in which the workspace's requests may be served. The route has to allow the region, too. */
     AllowedRegions allowedRegions;
 };
 
 /**
- * Finds workspaces by key and by name. A look-up compares digests, so the time that it takes depends on the digest of what the caller sent and says
- * nothing of a key that the caller does not hold.
+ * Finds workspaces by API key and by name. A look-up by key compares digests, so its duration depends on the digest of what the caller sent and reveals
+ * nothing about keys that the caller does not have.
  */
 class WorkspaceTable
 {
 public:
     WorkspaceTable() = default;
 
-    /** Fails with InvalidInput when the name is there already or another workspace has one of the keys; the table is of no use then. */
+    /** Fails with InvalidInput when a workspace with the same name or one of the keys was added before; the table must not be used afterwards. */
     [[nodiscard]] Core::Result<void> add(Workspace workspace, const std::vector<ApiKey> &keys);
 
-    /** The workspace that holds the key, or nullptr. */
+    /** The workspace to which the key belongs, or nullptr. */
     [[nodiscard]] const Workspace *holderOf(const ApiKey &key) const;
 
-    /** The workspace of that name, or nullptr. */
+    /** The workspace with this name, or nullptr. */
     [[nodiscard]] const Workspace *find(const WorkspaceName &name) const;
 
-    /** All of them, in the order in which they were added. */
+    /** All workspaces, in the order in which they were added. */
     [[nodiscard]] const std::vector<std::shared_ptr<const Workspace>> &all() const;
 
 private:
-    // A digest is uniformly distributed, so any of its bytes will do.
+    // A digest is uniformly distributed, so its first bytes serve as the hash.
     struct DigestHash {
         std::size_t operator()(const ApiKeyDigest &digest) const noexcept
         {
--- a/Tests/LibCoordinator/TestEvacuatedZones.cpp
+++ b/Tests/LibCoordinator/TestEvacuatedZones.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which availability zones are evacuated, after any row of committed orders.
+// Tests of the evacuated availability zones after sequences of committed orders, snapshots and restarts.
 
 #include <LibCoordinator/DeclarationLog.h>
 #include <LibCoordinator/EvacuatedZones.h>
@@ -23,7 +23,7 @@
     return made;
 }
 
-/** A coordinator's log that is a whole quorum by itself, over a folder that outlives it. */
+/** The log of a coordinator that is the only member, over a folder that outlives the log. */
 class LoneLog : public TestSupport::LoopFixture
 {
 public:
@@ -87,7 +87,7 @@
     Coordinator::EvacuatedZones zones;
     cr_assert(zones.apply(order("a", true)));
     cr_assert_not(zones.apply(order("a", true)));
-    cr_assert_not(zones.apply(order("b", false)), "one that was never evacuated");
+    cr_assert_not(zones.apply(order("b", false)), "zone b was not evacuated before");
     cr_assert_eq(zones.current().revision, 1);
     cr_assert(zones.apply(order("b", true)));
     cr_assert(zones.apply(order("a", false)));
@@ -108,7 +108,7 @@
     cr_assert(other.current().zones == zones.current().zones);
 }
 
-// What was acknowledged has to be there after any loss of power, whether it stands in the log or in a snapshot only.
+// Acknowledged evacuations have to survive a restart, whether they are contained in the log or only in a snapshot.
 Test(DeclarationLog, holdsEvacuationsThroughRestarts)
 {
     LoneLog lone;
@@ -119,7 +119,7 @@
     cr_assert(lone.runUntil([&] {
         return lone.declarations->evacuations().zones.size() == 2;
     }));
-    // More orders than there are between two snapshots.
+    // These are more orders than entries between two snapshots.
     for (int round = 0; round < 4; ++round) {
         lone.evacuate("a", false);
         lone.evacuate("a", true);
--- a/Tests/LibCoordinator/TestMembershipPolicy.cpp
+++ b/Tests/LibCoordinator/TestMembershipPolicy.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which change of the members comes next.
+// Tests of the choice of the next membership change.
 
 #include <LibCoordinator/MembershipPolicy.h>
 
@@ -34,34 +34,37 @@
 Test(MembershipPolicy, takesOneSafeStepAtATime)
 {
     const std::vector<Case> cases{
-        {"all is well", {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 0, 9}}, std::nullopt, ""},
-        {"a voter is silent and nobody is there", {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 60, 5}}, std::nullopt, ""},
-        {"its folder came back empty, the new one is not caught up",
+        {"three voters are reachable", {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 0, 9}}, std::nullopt, ""},
+        {"a voter is silent and there is no learner", {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 60, 5}}, std::nullopt, ""},
+        {"a voter lost its folder and the learner at its address has not caught up",
             {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 1, 5}, {"c2", "3", false, 0, 3}},
             std::nullopt,
             ""},
-        {"it has caught up: it votes before the lost one goes",
+        {"a learner that has caught up is promoted before the lost voter is removed",
             {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 1, 5}, {"c2", "3", false, 0, 9}},
             MemberChangeKind::PROMOTE,
             "c2"},
-        {"then the lost one goes",
+        {"the lost voter is removed after the promotion",
             {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 1, 5}, {"c2", "3", true, 0, 9}},
             MemberChangeKind::REMOVE,
             "c"},
-        {"one at another address replaces a silent voter",
+        {"a learner at another address replaces a silent voter",
             {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 5, 5}, {"d", "4", false, 0, 9}},
             MemberChangeKind::PROMOTE,
             "d"},
-        {"a voter that was silent for a moment is kept",
+        {"a voter that was silent for less than the timeout remains",
             {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 2, 5}, {"d", "4", false, 0, 9}},
             std::nullopt,
             ""},
-        {"fewer voters than wanted", {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"d", "4", false, 0, 9}}, MemberChangeKind::PROMOTE, "d"},
-        {"a learner that is long silent goes",
+        {"a learner is promoted when there are too few voters",
+            {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"d", "4", false, 0, 9}},
+            MemberChangeKind::PROMOTE,
+            "d"},
+        {"a learner that exceeds the timeout is removed",
             {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 0, 9}, {"d", "4", false, 11, 9}},
             MemberChangeKind::REMOVE,
             "d"},
-        {"two folders lost at one address: the older learner goes",
+        {"of two learners at one address the earlier one is removed",
             {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 0, 9}, {"d", "4", false, 1, 9}, {"d2", "4", false, 0, 2}},
             MemberChangeKind::REMOVE,
             "d"},
--- a/Tests/LibCoordinator/TestRegistryStore.cpp
+++ b/Tests/LibCoordinator/TestRegistryStore.cpp
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The load pattern: all coordinators and gateways lose power at once. Callers are
-// there from the first moment, and heartbeats, which come every 1.2 s, would make
-// the backend servers known only one by one: on the heat network's days that end
-// with it, searches lacked shards for 0.8 s after the log had its leader.
+// Tests of the ready backend servers that a coordinator stores on its disk. They
+// guard against searches that lack shards after all coordinators and gateways lost
+// power at once: callers send searches from the first moment, and heartbeats, which
+// are sent every 1.2 s, make the backend servers known only one by one. Without the
+// store, searches lacked shards for 0.8 s after the log had elected its leader.
 
 #include <LibCoordinator/RegistryStore.h>
 #include <LibFleet/BackendRegistry.h>
@@ -73,7 +74,7 @@
         store.note(announcement("a"));
         cr_assert(store.flush(folder).has_value());
         store.note(announcement("b"));
-        // A write, and then no sync.
+        // The write succeeds and the sync fails.
         folder.failAfter(1);
         cr_assert_not(store.flush(folder).has_value());
         folder.failNever();
@@ -116,12 +117,12 @@
     registry.restore(announcement("ended"), start);
     cr_assert_eq(registry.readyCount(), 2);
     const auto oneHeartbeat = start + Core::milliseconds(1200);
-    cr_assert(!registry.merge(announcement("lives", BackendPhase::READY, 9), oneHeartbeat), "a heartbeat alone is no news");
+    cr_assert(!registry.merge(announcement("lives", BackendPhase::READY, 9), oneHeartbeat), "a heartbeat that changes nothing else is not sent to watchers");
     cr_assert_eq(registry.expireUnconfirmed(oneHeartbeat), 0);
     cr_assert_eq(registry.expireUnconfirmed(start + Core::seconds(4)), 1);
     cr_assert_eq(registry.find("ended")->announcement.phase, BackendPhase::SILENT);
     cr_assert_eq(registry.find("lives")->announcement.phase, BackendPhase::READY);
-    // A heartbeat that was only late brings it back.
+    // A late heartbeat makes the backend server ready again.
     cr_assert(registry.merge(announcement("ended", BackendPhase::READY, 10), start + Core::seconds(5)));
     cr_assert_eq(registry.find("ended")->announcement.phase, BackendPhase::READY);
 }
@@ -144,8 +145,8 @@
     cr_assert_eq(registry.expireUnconfirmed(start + Core::seconds(10)), 0);
 }
 
-// The load pattern: thousands of backend servers that call every 5 s, and a coordinator that starts from its disk. Each calls within a period and
-// what a heartbeat is late; one taken for silent before is taken away from all gateways, and told of again when it calls.
+// A coordinator restores thousands of backend servers from its disk. Each of them sends a heartbeat within one period and its delay. A backend server that is
+// marked silent before is removed from all gateways and sent to them again with its heartbeat.
 Test(RegistryStore, takesNobodyForSilentBeforeItsHeartbeatCanHaveCome)
 {
     for (const auto period : {Core::milliseconds(400), Core::milliseconds(1200), Core::milliseconds(5000)}) {
@@ -166,6 +167,6 @@
         }
         cr_assert_eq(silent, 0, "%zu with a period of %ld ms", silent, static_cast<long>(Core::toMilliseconds(period)));
         registry.restore(announcement("left"), Core::Instant());
-        cr_assert_eq(registry.expireUnconfirmed(Core::Instant(period + Core::seconds(3))), 1, "one that does not call");
+        cr_assert_eq(registry.expireUnconfirmed(Core::Instant(period + Core::seconds(3))), 1, "a backend server that sends no heartbeat becomes silent");
     }
 }
--- a/Tests/LibCoordinator/TestWatchService.cpp
+++ b/Tests/LibCoordinator/TestWatchService.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which questions of watchers are answered when.
+// Tests of which watch requests are answered when, and with which changes.
 
 #include <LibCoordinator/WatchService.h>
 #include <Support/LoopFixture.h>
@@ -18,7 +18,7 @@
 
 constexpr std::int64_t Incarnation = 7;
 
-/** A desk over a log that holds nothing, since its folder can't be opened. */
+/** A watch service over a log that is empty, since its folder can't be opened. */
 class DeskFixture : public TestSupport::LoopFixture
 {
 public:
@@ -28,7 +28,7 @@
     {
     }
 
-    /** A question of a watcher that knows all that has happened so far. */
+    /** A watch request of a watcher that has received all changes so far. */
     [[nodiscard]] Protocol::WatchRequest question(RegistryInterest::type interest) const
     {
         Protocol::WatchRequest request;
@@ -61,7 +61,7 @@
         this->desk.scheduleNotification();
     }
 
-    /** A gateway that becomes ready. */
+    /** Makes another gateway ready. */
     void arrive(int number)
     {
         Protocol::BackendAnnouncement announcement;
@@ -144,11 +144,11 @@
     request.registryInterest = RegistryInterest::NOTHING;
     fixture.ask(request);
     cr_assert(fixture.isAnswered());
-    cr_assert(fixture.answer->cursor == 0 && fixture.answer->changed.empty(), "what it was not told it can still ask for");
+    cr_assert(fixture.answer->cursor == 0 && fixture.answer->changed.empty(), "changes that were not sent can still be requested");
 }
 
-// The load pattern: 300 gateways start at the same moment and become ready one by one. Each is news for all others, and a watcher asks again as soon
-// as it has its answer: told of each by itself, the watchers of one coordinator kept it busy for half a second.
+// When 300 gateways start at the same moment and become ready one by one, each of them is an update for all others, and a watcher sends its next watch request
+// as soon as it has a reply. With one update for each gateway, the watchers of one coordinator kept it busy for half a second.
 Test(WatchService, tellsOfThoseThatArriveTogetherInFewAnswers)
 {
     constexpr int Arrivals = 100;
@@ -184,7 +184,7 @@
     fixture.arrive(2);
     fixture.change("one", BackendPhase::DRAINING);
     cr_assert(fixture.isAnswered());
-    cr_assert(fixture.answer->changed.size() == 1 && fixture.answer->changedGateways.size() == 1, "with it goes what has come so far");
+    cr_assert(fixture.answer->changed.size() == 1 && fixture.answer->changedGateways.size() == 1, "the same update contains the gateway that arrived before");
 }
 
 Test(WatchService, neverConfirmsWithoutLeading)
@@ -193,7 +193,7 @@
     auto request = fixture.question(RegistryInterest::NOTHING);
     request.confirm = true;
     fixture.ask(request);
-    cr_assert_not(fixture.answer.has_value(), "held for a while, so that the watcher does not ask without pause");
+    cr_assert_not(fixture.answer.has_value(), "the request is held for a while, so that the watcher does not repeat it without a pause");
     cr_assert(fixture.isAnswered());
     cr_assert_not(fixture.answer->confirmed);
 }
--- a/Tests/LibFleet/TestBackendRegistry.cpp
+++ b/Tests/LibFleet/TestBackendRegistry.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Merging of announcements: rules G1 to G7 of docs/PLATFORM.md.
+// Tests of the rules by which announcements of backend servers are merged (docs/PLATFORM.md, rules G1 to G7).
 
 #include <LibFleet/BackendRegistry.h>
 
@@ -64,13 +64,13 @@
         BackendPhase::type after;
     };
     const std::vector<Case> cases{
-        {"a late heartbeat", BackendPhase::DRAINING, BackendPhase::READY, 4, BackendPhase::DRAINING},
-        {"a newer heartbeat", BackendPhase::DRAINING, BackendPhase::READY, 99, BackendPhase::DRAINING},
-        {"leaving with an old sequence", BackendPhase::READY, BackendPhase::DRAINING, 1, BackendPhase::DRAINING},
-        {"a heartbeat after the farewell", BackendPhase::GONE, BackendPhase::READY, 99, BackendPhase::GONE},
-        {"draining after the farewell", BackendPhase::GONE, BackendPhase::DRAINING, 99, BackendPhase::GONE},
-        {"a heartbeat after silence", BackendPhase::SILENT, BackendPhase::READY, 12, BackendPhase::READY},
-        {"an old heartbeat after silence", BackendPhase::SILENT, BackendPhase::READY, 9, BackendPhase::SILENT},
+        {"late heartbeat while draining", BackendPhase::DRAINING, BackendPhase::READY, 4, BackendPhase::DRAINING},
+        {"newer heartbeat while draining", BackendPhase::DRAINING, BackendPhase::READY, 99, BackendPhase::DRAINING},
+        {"draining with an older sequence", BackendPhase::READY, BackendPhase::DRAINING, 1, BackendPhase::DRAINING},
+        {"heartbeat after the deregistration", BackendPhase::GONE, BackendPhase::READY, 99, BackendPhase::GONE},
+        {"draining after the deregistration", BackendPhase::GONE, BackendPhase::DRAINING, 99, BackendPhase::GONE},
+        {"newer heartbeat of a silent backend server", BackendPhase::SILENT, BackendPhase::READY, 12, BackendPhase::READY},
+        {"old heartbeat of a silent backend server", BackendPhase::SILENT, BackendPhase::READY, 9, BackendPhase::SILENT},
     };
     for (const auto &item : cases) {
         BackendRegistry registry;
@@ -99,12 +99,12 @@
     registry.merge(announcement(BackendPhase::READY, 1), at(1));
     const auto first = registry.position();
     registry.merge(announcement(BackendPhase::READY, 2), at(2));
-    cr_assert(told == 1, "a mere heartbeat is no news");
+    cr_assert(told == 1, "a heartbeat that changes nothing else is not sent to watchers");
     cr_assert(registry.changedSince(first, at(2)).empty());
     registry.merge(announcement(BackendPhase::DRAINING, 3), at(3));
     cr_assert(told == 2);
     cr_assert(registry.changedSince(first, at(3)).size() == 1);
-    cr_assert(registry.changedSince(0, at(3)).size() == 1, "one record, told once");
+    cr_assert(registry.changedSince(0, at(3)).size() == 1, "two changes of one record are sent as one");
 }
 
 Test(BackendRegistry, takesSilenceForSilenceOnlyWhereNobodyHeard)
@@ -113,9 +113,9 @@
     registry.merge(announcement(BackendPhase::READY, 1), at(0));
     cr_assert(registry.expire(at(9), Core::seconds(10)) == 0);
     registry.recordRemoteHeartbeat("one", at(9));
-    cr_assert(registry.expire(at(15), Core::seconds(10)) == 0, "another coordinator heard it");
+    cr_assert(registry.expire(at(15), Core::seconds(10)) == 0, "another coordinator received a heartbeat");
     registry.restartHeartbeatTimeouts(at(15));
-    cr_assert(registry.expire(at(24), Core::seconds(10)) == 0, "this process stood still");
+    cr_assert(registry.expire(at(24), Core::seconds(10)) == 0, "all heartbeat timeouts were restarted");
     cr_assert(registry.expire(at(25), Core::seconds(10)) == 1);
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::SILENT);
     registry.forget(at(2000));
@@ -152,18 +152,20 @@
 
 }
 
-// G6. A server that starts again under its name counts from the start, so its first heartbeat has a lower sequence than the last one before.
+// Rule G6. A backend server that starts again under its id restarts its sequence, so the first heartbeat of the new incarnation has a lower sequence than the
+// last one of the earlier incarnation.
 Test(BackendRegistry, aLaterLifeReplacesTheEarlierOne)
 {
     for (const auto held : {BackendPhase::SILENT, BackendPhase::READY, BackendPhase::DRAINING, BackendPhase::GONE}) {
         BackendRegistry registry;
         registry.merge(inLife(1000, held, 50), at(1));
-        cr_assert(registry.merge(inLife(2000, BackendPhase::READY, 1), at(2)), "others have to know");
+        cr_assert(registry.merge(inLife(2000, BackendPhase::READY, 1), at(2)), "watchers have to be notified");
         const auto &record = *registry.find("one");
         cr_assert(record.announcement.phase == BackendPhase::READY && record.announcement.sequence == 1 && record.announcement.born == 2000);
         registry.merge(inLife(1000, BackendPhase::READY, 99), at(3));
         registry.merge(inLife(1000, BackendPhase::GONE, INT64_MAX), at(3));
-        cr_assert(record.announcement.phase == BackendPhase::READY && record.announcement.born == 2000, "what comes late of the earlier life");
+        cr_assert(record.announcement.phase == BackendPhase::READY && record.announcement.born == 2000,
+            "late announcements of the earlier incarnation change nothing");
         registry.markGone("one", at(4));
         cr_assert(record.announcement.phase == BackendPhase::GONE && record.announcement.born == 2000);
     }
@@ -188,18 +190,19 @@
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// A deregistration need not say which life it ends, and nothing else may be known of the server here.
+// A deregistration may come without the incarnation that it ends, and may be the first thing received of its backend server. A late heartbeat must not make
+// the backend server ready again.
 Test(BackendRegistry, aLateHeartbeatDoesNotUndoAFarewellOfAnUnknownLife)
 {
     BackendRegistry registry;
     registry.markGone("one", at(1));
     registry.mergeHeartbeat(inLife(1000, BackendPhase::READY, 7), at(4));
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::GONE);
-    cr_assert(registry.mergeHeartbeat(inLife(2000, BackendPhase::READY, 9), at(12)), "one that goes on is of a life that started since");
+    cr_assert(registry.mergeHeartbeat(inLife(2000, BackendPhase::READY, 9), at(12)), "a heartbeat after the window is of a newer incarnation");
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::READY);
 }
 
-// G7.
+// Rule G7.
 Test(BackendRegistry, nobodyMovesToAnotherServiceWithinALife)
 {
     BackendRegistry registry;
@@ -218,7 +221,7 @@
     registry.merge(heartbeat, at(1));
     heartbeat.sequence = 2;
     heartbeat.warmupLeftMs = 2000;
-    cr_assert_not(registry.merge(heartbeat, at(2)), "the same cold span");
+    cr_assert_not(registry.merge(heartbeat, at(2)), "the end of the same warm-up is no change");
     heartbeat.sequence = 3;
     heartbeat.warmupLeftMs = 0;
     cr_assert_not(registry.merge(heartbeat, at(5)));
--- a/Tests/LibFleet/TestFleetWatcher.cpp
+++ b/Tests/LibFleet/TestFleetWatcher.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What a watcher asks of which coordinator, and what it makes of their answers.
+// Tests of which watch requests a watcher sends to which coordinators, and of how it applies their updates.
 
 #include <LibFleet/FleetWatcher.h>
 #include <LibFleet/TextDelta.h>
@@ -18,7 +18,7 @@
 using Protocol::WatchReply;
 using Protocol::WatchRequest;
 
-/** A stand-in for a coordinator whose every answer a test decides. */
+/** A coordinator whose replies are chosen by a script of the test. A watch request for which the script gives no reply is held. */
 class ScriptedCoordinator : public Protocol::CoordinatorCobSvIf
 {
 public:
@@ -26,7 +26,7 @@
 
     ScriptedCoordinator(TestSupport::LoopFixture &fixture, Script script) : endpoint(TestSupport::freeEndpoint()), script(std::move(script))
     {
-        // The server must not own what owns it.
+        // The server must not own this object, which owns the server.
         const std::shared_ptr<ScriptedCoordinator> unowned(this, [](ScriptedCoordinator *) {
         });
         this->server = Rpc::RpcServer::create(
@@ -58,7 +58,7 @@
     std::unique_ptr<Rpc::RpcServer> server;
 };
 
-/** A watcher in one region, with coordinators that a test adds. */
+/** A watcher in one zone, with coordinators that the test adds in its own zone or in other regions. */
 class WatcherFixture : public TestSupport::LoopFixture
 {
 public:
@@ -101,7 +101,7 @@
         this->watcher.addCoordinators(endpoints);
     }
 
-    /** An answer that names all coordinators. */
+    /** A reply that names all coordinators. */
     [[nodiscard]] WatchReply reply(std::int64_t declared) const
     {
         WatchReply made;
@@ -121,7 +121,7 @@
     Fleet::FleetWatcher watcher;
 };
 
-/** Answers the first question of a watcher at once and holds the others, as a coordinator without news does. */
+/** Answers the first watch request at once and holds the others, as a coordinator without an update does. */
 ScriptedCoordinator::Script answeringOnce(const WatcherFixture &fixture, std::int64_t declared)
 {
     return [&fixture, declared](const WatchRequest &request) -> std::optional<WatchReply> {
@@ -136,7 +136,7 @@
     });
 }
 
-/** Texts whose common part is at another place in each. */
+/** Texts with a common part whose position depends on the length of the name. */
 std::string longText(const std::string &name)
 {
     std::string text = name + "\n";
@@ -162,7 +162,8 @@
     fixture.settle(Core::milliseconds(50));
     cr_assert_not(asksForRegistry(far));
     cr_assert_not(asksForRegistry(farther));
-    cr_assert(far.requests.size() <= 1 && farther.requests.size() <= 1, "a near one confirms as well, so hundreds of watchers need not meet at a far leader");
+    cr_assert(far.requests.size() <= 1 && farther.requests.size() <= 1,
+        "a coordinator of the same zone confirms as well, so hundreds of watchers need not send requests to a leader in another region");
 }
 
 Test(FleetWatcher, isConfirmedByAFarOneWhileTheNearOneHearsNoLeader)
@@ -221,7 +222,7 @@
         return asksForRegistry(near);
     }));
     fixture.settle(Core::milliseconds(50));
-    cr_assert_not(fixture.watcher.isConfirmed(), "version 7 is confirmed, but its text is not here");
+    cr_assert_not(fixture.watcher.isConfirmed(), "version 7 is confirmed, but its text has not been received");
     near.script = [&fixture](const WatchRequest &request) -> std::optional<WatchReply> {
         if (!request.wantsDeclaration) {
             return std::nullopt;
@@ -261,11 +262,11 @@
     cr_assert(fixture.runUntil([&] {
         return lastInterest(far) == RegistryInterest::EVERYTHING || lastInterest(farther) == RegistryInterest::EVERYTHING;
     }),
-        "although it holds the question for leavers");
+        "although it holds the request for departures");
     auto &heir = *fixture.coordinators[lastInterest(far) == RegistryInterest::EVERYTHING ? 1 : 2];
-    cr_assert(heir.requests.back().cursor == 0, "from the beginning");
-    // Two questions are under way to it, and the first of them was dropped. Its answer was taken for one to the second, which was asked once more
-    // and in the end dropped with its channel: a failure that came for it ended the process.
+    cr_assert(heir.requests.back().cursor == 0, "the whole registry is requested");
+    // This coordinator holds two watch requests, the first of which the watcher has abandoned. The reply to the first one must be discarded. If it is handled
+    // as the reply to the second one, the second request is sent once more and later abandoned with its channel, and its failure ends the process.
     cr_assert(heir.held.size() == 2);
     const auto asked = heir.requests.size();
     heir.held.front()(fixture.reply(-1));
@@ -273,7 +274,8 @@
     cr_assert(heir.requests.size() == asked);
 }
 
-// A gateway once fell silent for good: a question was asked twice, and the channel of one of them was dropped when the order changed.
+// Guards against a watcher that stops sending watch requests for good: a request was sent twice, and the channel of one of them was closed when the order of
+// the coordinators changed.
 Test(FleetWatcher, goesOnAskingWhenTheOrderOfCoordinatorsChanges)
 {
     WatcherFixture fixture;
@@ -293,9 +295,9 @@
         cr_assert(fixture.runUntil([&] {
             return far.requests.size() > askedFar + 2;
         }),
-            "round %d: the far one has a leader",
+            "round %d: the coordinator of the other region has a leader",
             round);
-        // It is asked again only once the far one loses its leader too.
+        // The watcher requests updates from the coordinator of its zone again only once the one of the other region has lost its leader, too.
         nearHasLeader = true;
         fixture.coordinators[1]->script = [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
             auto reply = fixture.reply(-1);
@@ -306,7 +308,7 @@
         cr_assert(fixture.runUntil([&] {
             return near.requests.size() > askedNear + 2;
         }),
-            "round %d: the near one has a leader again",
+            "round %d: the coordinator of the same zone has a leader again",
             round);
         fixture.coordinators[1]->script = [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
             return fixture.reply(-1);
@@ -314,7 +316,8 @@
     }
 }
 
-// Two coordinators answered with deltas from the same text, and the second one was applied to what the first had led to.
+// Guards against applying a delta to a text other than its base, which happens when two coordinators send deltas from the same base and the second delta is
+// applied to the result of the first.
 Test(FleetWatcher, appliesNoDeltaToAnotherTextThanItWasMadeFor)
 {
     WatcherFixture fixture(2);
@@ -333,7 +336,7 @@
     };
     auto &near = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
         if (!request.wantsDeclaration) {
-            // It is asked for the text once it is known to be the nearest.
+            // The watcher requests the text once it knows that this coordinator is in its zone.
             return fixture.reply(1);
         }
         return request.declarationVersion < 1 ? std::optional(answer(request, 1)) : std::nullopt;
@@ -348,7 +351,7 @@
     near.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.declarationVersion < 3 ? std::optional(answer(request, 3)) : std::nullopt;
     };
-    // The far one tells of version 2, and is asked for its text when the near one keeps silent about it.
+    // The coordinator of the other region names version 2 and is asked for its text after the fallback delay, in which the first one does not send it.
     far.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.wantsDeclaration && request.declarationVersion < 2 ? std::optional(answer(request, 2)) : std::nullopt;
     };
@@ -361,11 +364,11 @@
         return fixture.version == 3;
     }));
     cr_assert(fixture.text == texts[3]);
-    cr_assert(wholeTexts == 1, "no text was wanted whole again");
+    cr_assert(wholeTexts == 1, "the whole text was requested only once");
 }
 
-// After a stop of everything the far leader tells of the declaration before the near coordinator has brought its text. All callers are refused
-// until the confirmation is there, so it is asked for at once.
+// After a stop of all processes the leader in another region may name the declaration's version before the coordinator of the same zone has sent its text.
+// All requests of callers are refused until the confirmation is received, so the watcher must request it without the fallback delay.
 Test(FleetWatcher, confirmationDoesNotWaitForTheTextOfTheDeclaration)
 {
     WatcherFixture fixture(1, Core::seconds(60));
@@ -389,7 +392,8 @@
     }));
 }
 
-// Whoever serves again after a start or a cut has to know what was evacuated meanwhile; the confirmation and the zones come in one answer.
+// A gateway that serves again after a start or a network partition has to know the zones that were evacuated meanwhile. The confirmation and the evacuations
+// are sent in one reply.
 Test(FleetWatcher, holdsTheEvacuationsOnceItIsConfirmed)
 {
     WatcherFixture fixture;
@@ -408,7 +412,7 @@
     int arrivals = 0;
     fixture.watcher.evacuationsChanged = [&](const Protocol::Evacuations &evacuations) {
         arrivals += evacuations.zones == std::vector<std::string>{"far-1"} ? 1 : 100;
-        cr_assert_not(fixture.watcher.isConfirmed(), "the zones are in force before anything is served");
+        cr_assert_not(fixture.watcher.isConfirmed(), "the evacuations are active before any request is served");
     };
     fixture.watcher.requestConfirmation();
     fixture.start();
--- a/Tests/LibFleet/TestRouteTable.cpp
+++ b/Tests/LibFleet/TestRouteTable.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Routes by host and longest prefix.
+// Tests of the selection of routes by host and path prefix.
 
 #include <LibFleet/Declaration.h>
 
--- a/Tests/LibFleet/TestTextDelta.cpp
+++ b/Tests/LibFleet/TestTextDelta.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Deltas between texts lead to exactly the later one, or say that they don't.
+// Tests that a text delta and a compressed text give exactly the original text or an error.
 
 #include <LibFleet/TextDelta.h>
 
@@ -57,7 +57,7 @@
     cr_assert_not(Fleet::applyTextDelta(other, delta).has_value());
     for (std::size_t length = 0; length < delta.size(); ++length) {
         const auto applied = Fleet::applyTextDelta(before, std::string_view(delta).substr(0, length));
-        cr_assert(!applied.has_value(), "cut at %zu", length);
+        cr_assert(!applied.has_value(), "truncated to %zu bytes", length);
     }
 }
 
@@ -68,7 +68,7 @@
     const auto bytes = Fleet::compressText(text);
     cr_assert(bytes.size() < text.size());
     cr_assert(Fleet::expandText(bytes, 5000).value() == text);
-    cr_assert_not(Fleet::expandText(bytes, 4999).has_value(), "over the limit");
+    cr_assert_not(Fleet::expandText(bytes, 4999).has_value(), "longer than allowed");
     for (std::size_t length = 0; length < bytes.size(); length += 13) {
         cr_assert_not(Fleet::expandText(std::string_view(bytes).substr(0, length), 5000).has_value());
     }
--- a/Tests/LibFleet/TestWatcherQuestions.cpp
+++ b/Tests/LibFleet/TestWatcherQuestions.cpp
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which question an answer of a coordinator is taken for. A question that was
-// dropped may still be answered, also when its coordinator was given up meanwhile
-// and is watched again since.
+// Tests that the outcome of an abandoned watch request is not handled as the
+// outcome of another one. An abandoned request may still be answered or fail,
+// even after its coordinator was removed and added again.
 
 #include <LibFleet/FleetWatcher.h>
 #include <LibRpc/RpcServer.h>
@@ -24,14 +24,14 @@
 
 constexpr Core::Duration GiveUpAfter = Core::seconds(1);
 
-/** Answers the first question of a watcher and holds the others, unless told otherwise. */
+/** A coordinator that answers the first watch request and holds the others. */
 class HoldingCoordinator : public Protocol::CoordinatorCobSvIf
 {
 public:
     HoldingCoordinator(TestSupport::LoopFixture &fixture, const std::vector<Protocol::CoordinatorPlace> &places)
         : endpoint(TestSupport::freeEndpoint()), places(places)
     {
-        // The server must not own what owns it.
+        // The server must not own this object, which owns the server.
         const std::shared_ptr<HoldingCoordinator> unowned(this, [](HoldingCoordinator *) {
         });
         this->server = Rpc::RpcServer::create(
@@ -44,7 +44,7 @@
     {
         this->requests.push_back(request);
         if (this->breaksConnections) {
-            throw std::runtime_error("this connection ends");
+            throw std::runtime_error("the connection is closed");
         }
         if (request.coordinatorIncarnation == 0 && !this->holdsAll) {
             callback(this->reply());
@@ -68,7 +68,7 @@
         return made;
     }
 
-    /** Whether it holds so many questions, the last of them with this interest. */
+    /** Whether `count` watch requests are held and the latest one has this registry interest. */
     [[nodiscard]] bool holds(std::size_t count, RegistryInterest::type interest) const
     {
         return this->held.size() == count && this->requests.back().registryInterest == interest;
@@ -124,7 +124,8 @@
         return near.holds(1, RegistryInterest::EVERYTHING) && beside.holds(1, RegistryInterest::LEAVERS) && far.holds(1, RegistryInterest::LEAVERS);
     }));
 
-    // The near one answers once more and ends, so the next one is asked for everything and its earlier question is dropped; that connection breaks.
+    // The coordinator of the same zone answers once more and ends. So the one of the same region is asked for the whole registry, its earlier request is
+    // abandoned, and the connection of the new request breaks.
     fixture.settle(GiveUpAfter + Core::milliseconds(100));
     near.held.front()(near.reply());
     cr_assert(fixture.runUntil([&near] {
@@ -133,7 +134,7 @@
     places.pop_back();
     beside.breaksConnections = true;
     near.server.reset();
-    // It is given up, since it has not answered for long, and is watched again because the far one names it.
+    // The coordinator of the same region is removed, since it has not replied for long, and added again, since a reply of the other region names it.
     cr_assert(fixture.runUntil([&] {
         return !watches(watcher, beside) && far.holds(2, RegistryInterest::EVERYTHING);
     }));
@@ -146,7 +147,7 @@
 
     beside.held.front()(beside.reply());
     fixture.settle();
-    cr_assert_eq(beside.requests.size(), asked, "the answer to the dropped question was taken for the one to the question that is under way");
+    cr_assert_eq(beside.requests.size(), asked, "the reply to the abandoned request was handled as the reply to the request in flight");
 }
 
 Test(WatcherQuestions, aFailureOfADroppedQuestionIsNotTakenForOneOfACoordinatorThatIsNotAsked)
@@ -175,7 +176,8 @@
         return first.holds(1, RegistryInterest::EVERYTHING) && beside.holds(1, RegistryInterest::LEAVERS);
     }));
 
-    // As above: the question that it holds is dropped, and it is given up.
+    // The coordinator of the same zone ends, so the request that the one of the same region holds is abandoned. New connections to that one break, so it is
+    // removed.
     fixture.settle(GiveUpAfter + Core::milliseconds(100));
     first.held.front()(first.reply());
     cr_assert(fixture.runUntil([&first] {
@@ -189,7 +191,8 @@
     }));
     beside.breaksConnections = false;
 
-    // It is watched again and asked once. Then there are two that are nearer, so it is not asked any more.
+    // The coordinator of the same region is added again and sent one watch request. Then two coordinators of the same zone are added, so the watcher sends no
+    // more requests to it.
     beside.holdsAll = true;
     far.held.back()(far.reply());
     cr_assert(fixture.runUntil([&] {
@@ -204,7 +207,7 @@
     beside.held.back()(beside.reply());
     fixture.settle();
 
-    // The dropped question fails now.
+    // The abandoned request fails now.
     beside.server.reset();
     fixture.settle();
     cr_assert_geq(watcher.reachableCount(), 2);
