--- a/Libraries/LibCoordinator/CoordinatorNode.cpp
+++ b/Libraries/LibCoordinator/CoordinatorNode.cpp
@@ -43,10 +43,13 @@
         return tl::make_unexpected(log.error());
     }
     node->log = std::move(log.value());
-    node->desk = std::make_unique<WatchService>(
-        WatchServiceOptions{.incarnation = node->incarnation, .hold = node->options.longPollTimeout}, *node->log, node->registry, node->gateways, timers);
+    node->watchService = std::make_unique<WatchService>(WatchServiceOptions{.incarnation = node->incarnation, .longPollTimeout = node->options.longPollTimeout},
+        *node->log,
+        node->registry,
+        node->gateways,
+        timers);
     node->log->changed = [raw = node.get()] {
-        raw->desk->scheduleNotification();
+        raw->watchService->scheduleNotification();
     };
     node->registry.changed = [raw = node.get()](const Fleet::BackendRecord &record) {
         const auto &announcement = record.announcement;
@@ -59,13 +62,13 @@
                 {"sequence", announcement.sequence},
                 {"born", announcement.born},
                 {"cold_ms", announcement.warmupLeftMs}});
-        raw->store.note(announcement);
-        raw->desk->scheduleNotification();
+        raw->store.addChange(announcement);
+        raw->watchService->scheduleNotification();
     };
     node->gateways.changed = [raw = node.get()](const Fleet::BackendRecord &) {
-        raw->desk->scheduleNotification();
+        raw->watchService->scheduleNotification();
     };
-    // Coordinators watch all others, and get declarations through the log only.
+    // A coordinator watches all other coordinators. It receives orders through the replicated log only, so updates need not contain them.
     node->peers = std::make_unique<Fleet::FleetWatcher>(Fleet::WatcherOptions{.name = node->options.log.log.identity.name,
                                                             .zone = node->options.log.log.identity.zone,
                                                             .own = node->options.watchEndpoint,
@@ -87,13 +90,13 @@
         this->changeMembers();
     });
     this->introductionTimer = this->timers.every(IntroductionPeriod, [this](Core::Instant) {
-        this->seekMembership();
+        this->requestMembership();
     });
     this->expiryTimer = this->timers.every(ExpiryPeriod, [this](Core::Instant) {
         this->expireBackends();
     });
     this->storeTimer = this->timers.every(StorePeriod, [this](Core::Instant) {
-        this->keepBackends();
+        this->storeBackends();
     });
 }
 
@@ -145,7 +148,7 @@
         done(outcome);
         return;
     }
-    this->log->propose(outcome.version, content, answerTo(outcome, done));
+    this->log->propose(outcome.version, content, makeProposalHook(outcome, done));
 }
 
 void CoordinatorNode::evacuate(const std::string &zone, bool evacuate, const std::function<void(const OrderOutcome &outcome)> &done)
@@ -167,10 +170,10 @@
     Protocol::EvacuationOrder order;
     order.zone = zone;
     order.evacuate = evacuate;
-    this->log->proposeEvacuation(order, answerTo(outcome, done));
+    this->log->proposeEvacuation(order, makeProposalHook(outcome, done));
 }
 
-DeclarationLog::ProposalHook CoordinatorNode::answerTo(OrderOutcome outcome, const std::function<void(const OrderOutcome &outcome)> &done)
+DeclarationLog::ProposalHook CoordinatorNode::makeProposalHook(OrderOutcome outcome, const std::function<void(const OrderOutcome &outcome)> &done)
 {
     return [outcome = std::move(outcome), done](ProposalEnd end) mutable {
         switch (end) {
@@ -220,15 +223,15 @@
     if (folder == nullptr) {
         return;
     }
-    const auto kept = this->store.load(*folder);
-    for (auto announcement : kept) {
+    const auto stored = this->store.load(*folder);
+    for (auto announcement : stored) {
         announcement.warmupLeftMs = 0;
         this->registry.restore(announcement, this->timers.now());
     }
-    Core::logEvent(Core::LogLevel::Information, "registry.restored", {{"backends", kept.size()}});
+    Core::logEvent(Core::LogLevel::Information, "registry.restored", {{"backends", stored.size()}});
 }
 
-void CoordinatorNode::keepBackends()
+void CoordinatorNode::storeBackends()
 {
     const auto silent = this->registry.expireUnconfirmed(this->timers.now());
     if (silent > 0) {
@@ -248,16 +251,16 @@
 {
     const auto now = this->timers.now();
     const auto gap = now - std::exchange(this->lastExpiry, now);
-    const bool alone = this->peers->reachableCount() == 0 && !this->options.seeds.empty();
-    if (gap >= OwnPauseLimit || alone) {
+    const bool isIsolated = this->peers->reachableCount() == 0 && !this->options.seeds.empty();
+    if (gap >= OwnPauseLimit || isIsolated) {
         // Rule G4: A missed heartbeat does not show that a backend server has ended when this process was stopped, or when heartbeats may have reached other
         // coordinators that are unreachable from here.
         this->registry.restartHeartbeatTimeouts(now);
         this->gateways.restartHeartbeatTimeouts(now);
         return;
     }
-    const auto backendsGone = this->registry.expire(now, this->options.heartbeats.silence);
-    const auto gatewaysGone = this->gateways.expire(now, this->options.gatewaySilence);
+    const auto backendsGone = this->registry.expire(now, this->options.heartbeats.heartbeatTimeout);
+    const auto gatewaysGone = this->gateways.expire(now, this->options.gatewayHeartbeatTimeout);
     if (backendsGone + gatewaysGone > 0) {
         Core::logEvent(Core::LogLevel::Information, "registry.expired", {{"backends", backendsGone}, {"gateways", gatewaysGone}});
     }
@@ -272,7 +275,7 @@
     if (request.__isset.gateway) {
         this->gateways.merge(request.gateway, this->timers.now());
     }
-    this->desk->watch(request, done);
+    this->watchService->watch(request, done);
 }
 
 // ---- Membership
@@ -325,15 +328,15 @@
     return reply;
 }
 
-void CoordinatorNode::seekMembership()
+void CoordinatorNode::requestMembership()
 {
     const auto *replicated = this->log->log();
     if (replicated == nullptr) {
         return;
     }
     // A member either has a known leader or becomes a candidate itself. A member without a leader may have been removed while it was down.
-    const bool quiet = replicated->leader() == nullptr;
-    if (this->isMember() && !quiet) {
+    const bool withoutLeader = replicated->leader() == nullptr;
+    if (this->isMember() && !withoutLeader) {
         this->introductionChannels.clear();
         return;
     }
@@ -368,20 +371,20 @@
         },
         [this, weak, endpoint](const Core::Result<Protocol::IntroductionReply> &reply) {
             if (!weak.expired() && reply.has_value()) {
-                this->takeIntroduction(endpoint, reply.value());
+                this->handleIntroductionReply(endpoint, reply.value());
             }
         });
 }
 
-void CoordinatorNode::takeIntroduction(const Core::Endpoint &endpoint, const Protocol::IntroductionReply &reply)
+void CoordinatorNode::handleIntroductionReply(const Core::Endpoint &endpoint, const Protocol::IntroductionReply &reply)
 {
     this->introduced[endpoint] = reply.callee;
-    this->foundIfComplete();
+    this->bootstrapIfComplete();
 }
 
 // Rule F1: Only the seed with the lowest address bootstraps the log, only when the platform states that the whole system starts for the first time, and only
 // once every seed has stated that it holds no log. An empty folder alone is no reason to bootstrap, since the log may exist on other coordinators.
-void CoordinatorNode::foundIfComplete()
+void CoordinatorNode::bootstrapIfComplete()
 {
     auto *replicated = this->log->log();
     if (replicated == nullptr || !this->options.mayFound || replicated->isInitialised() || this->options.seeds.empty()) {
@@ -406,10 +409,10 @@
     for (auto &member : initialMembers.members) {
         member.voter = true;
     }
-    const auto founded = replicated->bootstrap(initialMembers);
+    const auto bootstrapped = replicated->bootstrap(initialMembers);
     Core::logEvent(Core::LogLevel::Information,
         "members.founded",
-        {{"voters", initialMembers.members.size()}, {"outcome", founded.has_value() ? std::string("done") : founded.error().message}});
+        {{"voters", initialMembers.members.size()}, {"outcome", bootstrapped.has_value() ? std::string("done") : bootstrapped.error().message}});
 }
 
 void CoordinatorNode::changeMembers()
@@ -487,7 +490,7 @@
     page.gauge("crankrudder_evacuated_zones", "Availability zones that are evacuated.", static_cast<double>(this->log->evacuations().zones.size()));
     page.gauge("crankrudder_backends_ready", "Backend servers that are ready.", this->registry.readyCount());
     page.gauge("crankrudder_gateways", "Gateways that are ready.", this->gateways.readyCount());
-    page.gauge("crankrudder_watchers", "Watch requests that are held until there is an update.", static_cast<double>(this->desk->waitingCount()));
+    page.gauge("crankrudder_watchers", "Watch requests that are held until there is an update.", static_cast<double>(this->watchService->waitingCount()));
     page.gauge("crankrudder_coordinators_in_reach", "Other coordinators that are reachable.", static_cast<double>(this->peers->reachableCount()));
     page.counter("crankrudder_disk_syncs_total", "Syncs of the write-ahead log to disk.", static_cast<double>(this->log->syncCount()));
     if (replicated != nullptr) {
@@ -505,7 +508,7 @@
     document["evacuated_zones"] = this->log->evacuations().zones;
     document["backends"] = this->registry.size();
     document["gateways"] = this->gateways.readyCount();
-    document["watchers"] = this->desk->waitingCount();
+    document["watchers"] = this->watchService->waitingCount();
     document["peers_in_reach"] = this->peers->reachableCount();
     document["folder_usable"] = replicated != nullptr;
     if (replicated != nullptr) {
--- a/Libraries/LibCoordinator/CoordinatorNode.h
+++ b/Libraries/LibCoordinator/CoordinatorNode.h
@@ -35,7 +35,7 @@
     /** Timeouts for the heartbeats of backend servers. */
     Fleet::HeartbeatTimes heartbeats{Fleet::HeartbeatTimes::of(Core::milliseconds(1200))};
     /** Heartbeat timeout of gateways. A gateway announces itself with each watch request, so at least once in each long-poll timeout. */
-    Core::Duration gatewaySilence{Core::seconds(12)};
+    Core::Duration gatewayHeartbeatTimeout{Core::seconds(12)};
     /** Validates the text of a declaration. Returns its version, or an error that says what is wrong. */
     std::function<Core::Result<Fleet::DeclarationVersion>(const std::string &content)> examine;
     /** The availability zones of the deployment, with their regions. Operators may evacuate these zones and no others. */
@@ -66,10 +66,11 @@
 
 /** Outcome of reading the declaration. */
 struct ReadOutcome {
-    /** Whether a quorum confirmed, after the read began, that `version` and `content` are the newest. Both are unset otherwise. */
+    /** Whether a quorum confirmed, after the read began, that `version` and `content` are the newest. Otherwise they are -1 and empty. */
     bool confirmed{false};
     std::int64_t version{-1};
     std::string content;
+    /** Where operators reach the leader; empty when it is unknown. */
     std::string leaderAddress;
 };
 
@@ -106,10 +107,13 @@
     /** Receives messages of the replicated log. */
     void receive(const std::vector<Protocol::LogMessage> &messages);
 
-    /** Replaces the seeds after the settings changed. */
+    /** Replaces the seeds and watches them, for use after the settings changed. */
     void addSeeds(const std::vector<Core::Endpoint> &seeds);
 
-    /** Refuses further orders and transfers leadership. `stopped` is called when no proposal waits any more and this coordinator does not lead. */
+    /**
+     * Refuses further orders and transfers leadership. `stopped` is called when no proposal waits any more and this coordinator is not the leader, or has no
+     * reachable voter to which it could transfer leadership.
+     */
     void drain(std::function<void()> stopped);
 
     [[nodiscard]] const DeclarationLog &declarations() const;
@@ -123,18 +127,18 @@
     CoordinatorNode(CoordinatorOptions options, Core::TimerService &timers);
     void startTimers();
     /** Makes a hook that completes `outcome` with the end of a proposal and calls `done` with it. */
-    [[nodiscard]] static DeclarationLog::ProposalHook answerTo(OrderOutcome outcome, const std::function<void(const OrderOutcome &outcome)> &done);
+    [[nodiscard]] static DeclarationLog::ProposalHook makeProposalHook(OrderOutcome outcome, const std::function<void(const OrderOutcome &outcome)> &done);
     void changeMembers();
-    void seekMembership();
+    void requestMembership();
     void introduceTo(const Core::Endpoint &endpoint);
-    void takeIntroduction(const Core::Endpoint &endpoint, const Protocol::IntroductionReply &reply);
-    void foundIfComplete();
+    void handleIntroductionReply(const Core::Endpoint &endpoint, const Protocol::IntroductionReply &reply);
+    void bootstrapIfComplete();
     [[nodiscard]] bool isMember() const;
     [[nodiscard]] Protocol::Introduction ownIntroduction() const;
     [[nodiscard]] std::string leaderOperatorAddress() const;
     void expireBackends();
     void restoreBackends();
-    void keepBackends();
+    void storeBackends();
     void finishDrain();
 
     CoordinatorOptions options;
@@ -147,7 +151,7 @@
     // Gateways that accept requests, by their own announcements.
     Fleet::BackendRegistry gateways;
     // NOTE: Declared after the log and the registries, which it refers to and which have to outlive it.
-    std::unique_ptr<WatchService> desk;
+    std::unique_ptr<WatchService> watchService;
     // Introductions of other coordinators, by their endpoint; only used until the log is bootstrapped.
     std::map<Core::Endpoint, Protocol::Introduction> introduced;
     std::map<Core::Endpoint, std::shared_ptr<Rpc::RpcChannel>> introductionChannels;
--- a/Libraries/LibCoordinator/DeclarationLog.cpp
+++ b/Libraries/LibCoordinator/DeclarationLog.cpp
@@ -15,7 +15,7 @@
 namespace Coordinator
 {
 
-// Election and heartbeat timeouts are checked this many times in each heartbeat period.
+// Election and heartbeat timeouts are checked this many times in each heartbeat period, so an election starts up to a quarter of a period late.
 static constexpr int TicksPerHeartbeat = 4;
 // Number of earlier texts that are stored, compressed, as bases of deltas. A watcher that holds an older version is sent the whole text.
 static constexpr std::size_t EarlierVersions = 12;
@@ -77,7 +77,7 @@
     this->replicatedLog.reset();
     this->writeAheadLog.reset();
     this->folder.reset();
-    this->reopenTimer = this->timers.once(this->options.reopenPause, [this](Core::Instant) {
+    this->reopenTimer = this->timers.once(this->options.reopenDelay, [this](Core::Instant) {
         const auto opened = this->open();
         if (!opened.has_value()) {
             Core::logEvent(Core::LogLevel::Warning, "log.folder_unusable", {{"error", opened.error().message}});
@@ -107,9 +107,9 @@
             if (!stored.has_value()) {
                 return tl::make_unexpected(stored.error());
             }
-            this->adopt(stored->version, stored->compressed);
+            this->applyDeclaration(stored->version, stored->compressed);
             if (this->evacuated.restore(stored->evacuations)) {
-                this->noteEvacuations();
+                this->publishEvacuations();
             }
             return {};
         },
@@ -151,7 +151,7 @@
     }
 }
 
-void DeclarationLog::adopt(std::int64_t version, const std::string &compressed)
+void DeclarationLog::applyDeclaration(std::int64_t version, const std::string &compressed)
 {
     if (version <= this->newestVersion) {
         return;
@@ -179,7 +179,7 @@
     }
 }
 
-void DeclarationLog::noteEvacuations()
+void DeclarationLog::publishEvacuations()
 {
     const auto &current = this->evacuated.current();
     Core::logEvent(Core::LogLevel::Information, "evacuations.committed", {{"revision", current.revision}, {"zones", Core::joinList(current.zones)}});
@@ -191,10 +191,10 @@
 void DeclarationLog::applyOrder(const Protocol::StoredOrder &order)
 {
     if (order.version >= 0) {
-        this->adopt(order.version, order.compressed);
+        this->applyDeclaration(order.version, order.compressed);
     }
     if (order.__isset.evacuation && this->evacuated.apply(order.evacuation)) {
-        this->noteEvacuations();
+        this->publishEvacuations();
     }
 }
 
--- a/Libraries/LibCoordinator/DeclarationLog.h
+++ b/Libraries/LibCoordinator/DeclarationLog.h
@@ -32,7 +32,7 @@
     Consensus::ReplicatedLogOptions log;
     std::string dataFolder;
     /** Delay before the data folder is opened again after a disk failure. */
-    Core::Duration reopenPause{Core::milliseconds(500)};
+    Core::Duration reopenDelay{Core::milliseconds(500)};
     /** Sends a message of the replicated log to another member. */
     std::function<void(const Protocol::Member &receiver, Protocol::LogMessage message)> send;
 };
@@ -47,7 +47,7 @@
     Unknown,
 };
 
-/** State machine over the replicated log. After a disk failure it takes no part in the log until it could open its folder again, which it tries by itself. */
+/** State machine over the replicated log. After a disk failure it leaves the log and opens its folder again after a delay, repeatedly if that fails. */
 class DeclarationLog
 {
 public:
@@ -107,8 +107,8 @@
     void proposeOrder(const Protocol::StoredOrder &order, ProposalHook done);
     void applyEntry(const Protocol::LogEntry &entry);
     void applyOrder(const Protocol::StoredOrder &order);
-    void adopt(std::int64_t version, const std::string &compressed);
-    void noteEvacuations();
+    void applyDeclaration(std::int64_t version, const std::string &compressed);
+    void publishEvacuations();
     void tick();
     void scheduleFlush();
     void failWaiting();
--- a/Libraries/LibCoordinator/MembershipPolicy.cpp
+++ b/Libraries/LibCoordinator/MembershipPolicy.cpp
@@ -14,10 +14,10 @@
 {
 
 /** Classifies single members by the policy. */
-class Judge
+class MemberClassifier
 {
 public:
-    Judge(const MembershipView &view, const MembershipPolicyOptions &options) : view(view), options(options)
+    MemberClassifier(const MembershipView &view, const MembershipPolicyOptions &options) : view(view), options(options)
     {
     }
 
@@ -38,7 +38,7 @@
     [[nodiscard]] bool isLostVoter(const Protocol::Member &member) const
     {
         const bool isOther = member.name != this->view.leaderName;
-        const bool silent = this->view.timeSinceContact(member.name) >= this->options.replaceAfter;
+        const bool silent = this->view.timeSinceContact(member.name) >= this->options.replacementTimeout;
         return member.voter && isOther && (silent || this->folderIsLost(member));
     }
 
@@ -48,9 +48,9 @@
         return !member.voter && fresh && !this->folderIsLost(member) && this->view.matchIndexOf(member.name) >= this->view.commitIndex;
     }
 
-    [[nodiscard]] bool isUselessLearner(const Protocol::Member &member) const
+    [[nodiscard]] bool isRemovableLearner(const Protocol::Member &member) const
     {
-        const bool silent = this->view.timeSinceContact(member.name) >= this->options.forgetLearnerAfter;
+        const bool silent = this->view.timeSinceContact(member.name) >= this->options.learnerRemovalTimeout;
         return !member.voter && (silent || this->folderIsLost(member));
     }
 
@@ -71,31 +71,31 @@
 
 std::optional<Protocol::MemberChange> chooseMemberChange(const MembershipView &view, const MembershipPolicyOptions &options)
 {
-    const Judge judge(view, options);
+    const MemberClassifier classifier(view, options);
     const auto &members = view.membership.members;
-    const auto lostVoter = std::find_if(members.begin(), members.end(), [&judge](const auto &member) {
-        return judge.isLostVoter(member);
+    const auto lostVoter = std::find_if(members.begin(), members.end(), [&classifier](const auto &member) {
+        return classifier.isLostVoter(member);
     });
-    const auto learner = std::find_if(members.begin(), members.end(), [&judge](const auto &member) {
-        return judge.isReadyLearner(member);
+    const auto learner = std::find_if(members.begin(), members.end(), [&classifier](const auto &member) {
+        return classifier.isReadyLearner(member);
     });
     const auto voters = static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [](const auto &member) {
         return member.voter;
     }));
-    const bool replaced = voters > options.targetVoters;
-    if (lostVoter != members.end() && replaced) {
+    const bool hasSurplusVoter = voters > options.targetVoters;
+    if (lostVoter != members.end() && hasSurplusVoter) {
         return makeChange(Protocol::MemberChangeKind::REMOVE, *lostVoter);
     }
     // A learner is promoted before the lost voter is removed, so that the number of voters that store the log never decreases.
-    const bool needed = voters < options.targetVoters || (lostVoter != members.end() && !replaced);
+    const bool needed = voters < options.targetVoters || (lostVoter != members.end() && !hasSurplusVoter);
     if (learner != members.end() && needed) {
         return makeChange(Protocol::MemberChangeKind::PROMOTE, *learner);
     }
-    const auto useless = std::find_if(members.begin(), members.end(), [&judge](const auto &member) {
-        return judge.isUselessLearner(member);
+    const auto removable = std::find_if(members.begin(), members.end(), [&classifier](const auto &member) {
+        return classifier.isRemovableLearner(member);
     });
-    if (useless != members.end()) {
-        return makeChange(Protocol::MemberChangeKind::REMOVE, *useless);
+    if (removable != members.end()) {
+        return makeChange(Protocol::MemberChangeKind::REMOVE, *removable);
     }
     return std::nullopt;
 }
--- a/Libraries/LibCoordinator/MembershipPolicy.h
+++ b/Libraries/LibCoordinator/MembershipPolicy.h
@@ -23,11 +23,11 @@
     /** The wanted number of voters: twice the number of folders that may be lost at once, plus one. */
     std::size_t targetVoters{3};
     /** A voter that sent no message for this long is replaced when a learner is ready. It is longer than a restart takes. */
-    Core::Duration replaceAfter{Core::seconds(4)};
+    Core::Duration replacementTimeout{Core::seconds(4)};
     /** A learner is ready to vote only if the leader received a message from it within this time. */
     Core::Duration learnerFreshness{Core::seconds(1)};
     /** A learner that sent no message for this long is removed. */
-    Core::Duration forgetLearnerAfter{Core::seconds(10)};
+    Core::Duration learnerRemovalTimeout{Core::seconds(10)};
 };
 
 /** The leader's view of the members of the log. */
--- a/Libraries/LibCoordinator/RegistryStore.cpp
+++ b/Libraries/LibCoordinator/RegistryStore.cpp
@@ -64,7 +64,7 @@
     }
 }
 
-void RegistryStore::note(const Protocol::BackendAnnouncement &announcement)
+void RegistryStore::addChange(const Protocol::BackendAnnouncement &announcement)
 {
     this->apply(announcement);
     this->unwritten += frame(announcement);
--- a/Libraries/LibCoordinator/RegistryStore.h
+++ b/Libraries/LibCoordinator/RegistryStore.h
@@ -28,11 +28,11 @@
 class RegistryStore
 {
 public:
-    /** Reads the backend servers that were ready when the file was last written. An unreadable file gives none; a damaged one those before the damage. */
+    /** Reads the backend servers that were ready when the file was last written. An unreadable file gives none; a damaged file is read up to the damage. */
     [[nodiscard]] std::vector<Protocol::BackendAnnouncement> load(Storage::Folder &folder);
 
     /** Collects a change of a backend server. Has to be called for each change. */
-    void note(const Protocol::BackendAnnouncement &announcement);
+    void addChange(const Protocol::BackendAnnouncement &announcement);
 
     [[nodiscard]] bool hasUnwritten() const;
 
--- a/Libraries/LibCoordinator/WatchService.cpp
+++ b/Libraries/LibCoordinator/WatchService.cpp
@@ -11,13 +11,13 @@
 {
 
 // Urgent changes within this time are sent in one update. It is far below the seconds within which such a change has to take effect.
-static constexpr Core::Duration NewsDelay = Core::milliseconds(5);
+static constexpr Core::Duration UrgentNotificationDelay = Core::milliseconds(5);
 // Other changes, such as arrivals, are sent in one update after this time, since no request waits for them. When hundreds of gateways start at the same
 // moment, each of them is an update for all others; with one update for each, a hundred watchers keep a coordinator busy for as long as gateways arrive.
-static constexpr Core::Duration ArrivalDelay = Core::milliseconds(100);
-static constexpr Core::Duration OverdueCheckPeriod = Core::milliseconds(100);
+static constexpr Core::Duration ArrivalNotificationDelay = Core::milliseconds(100);
+static constexpr Core::Duration TimeoutCheckPeriod = Core::milliseconds(100);
 // How long a watch request for a confirmation is held while there is no known leader. An election takes about this long.
-static constexpr Core::Duration ConfirmationHold = Core::milliseconds(400);
+static constexpr Core::Duration ConfirmationTimeout = Core::milliseconds(400);
 
 WatchService::WatchService(WatchServiceOptions options,
     DeclarationLog &log,
@@ -26,11 +26,11 @@
     Core::TimerService &timers)
     : options(options), log(log), registry(registry), gateways(gateways), timers(timers)
 {
-    this->overdueTimer = timers.every(OverdueCheckPeriod, [this](Core::Instant) {
+    this->timeoutTimer = timers.every(TimeoutCheckPeriod, [this](Core::Instant) {
         if (this->log.hasKnownLeader()) {
             this->confirmWatchers();
         }
-        this->answerOverdueWatchers();
+        this->answerTimedOutWatchers();
     });
 }
 
@@ -39,7 +39,7 @@
     return this->watchers.size();
 }
 
-bool WatchService::hasRegistryNewsFor(const Protocol::WatchRequest &request) const
+bool WatchService::hasRegistryUpdateFor(const Protocol::WatchRequest &request) const
 {
     switch (request.registryInterest) {
     case Protocol::RegistryInterest::EVERYTHING:
@@ -56,41 +56,41 @@
     return request.declarationVersion < this->log.version() || request.evacuationRevision < this->log.evacuations().revision;
 }
 
-bool WatchService::hasNewsFor(const Protocol::WatchRequest &request) const
+bool WatchService::hasUpdateFor(const Protocol::WatchRequest &request) const
 {
-    const bool otherLife = request.coordinatorIncarnation != this->options.incarnation;
-    return otherLife || this->hasRegistryNewsFor(request) || this->hasOrdersFor(request);
+    const bool isOtherIncarnation = request.coordinatorIncarnation != this->options.incarnation;
+    return isOtherIncarnation || this->hasRegistryUpdateFor(request) || this->hasOrdersFor(request);
 }
 
 // Whether an update has to be sent without the delay for arrivals. All changes are urgent for other coordinators, since they have to reach the watchers of
 // every coordinator, and for a watcher that has not received the registry from this incarnation yet.
-bool WatchService::hasUrgentNewsFor(const Protocol::WatchRequest &request) const
+bool WatchService::hasUrgentUpdateFor(const Protocol::WatchRequest &request) const
 {
-    const bool toldNoBackends = request.cursor == 0 && this->registry.position() > 0;
-    const bool toldNoGateways = request.gatewayCursor == 0 && this->gateways.position() > 0;
-    if (request.wantsHeard || toldNoBackends || toldNoGateways || request.coordinatorIncarnation != this->options.incarnation) {
-        return this->hasNewsFor(request);
+    const bool lacksBackends = request.cursor == 0 && this->registry.position() > 0;
+    const bool lacksGateways = request.gatewayCursor == 0 && this->gateways.position() > 0;
+    if (request.wantsHeard || lacksBackends || lacksGateways || request.coordinatorIncarnation != this->options.incarnation) {
+        return this->hasUpdateFor(request);
     }
-    const bool wantsLeavers = request.registryInterest != Protocol::RegistryInterest::NOTHING;
-    const bool leaver = request.cursor < this->registry.departurePosition() || request.gatewayCursor < this->gateways.departurePosition();
-    return (wantsLeavers && leaver) || this->hasOrdersFor(request);
+    const bool wantsDepartures = request.registryInterest != Protocol::RegistryInterest::NOTHING;
+    const bool hasDeparture = request.cursor < this->registry.departurePosition() || request.gatewayCursor < this->gateways.departurePosition();
+    return (wantsDepartures && hasDeparture) || this->hasOrdersFor(request);
 }
 
 void WatchService::watch(const Protocol::WatchRequest &request, const std::function<void(const Protocol::WatchReply &reply)> &done)
 {
-    WaitingWatcher watcher{.request = request, .done = done, .answerBy = this->timers.now() + this->options.hold};
+    WaitingWatcher watcher{.request = request, .done = done, .deadline = this->timers.now() + this->options.longPollTimeout};
     if (request.confirm) {
         // Without a known leader the request is held for a while, so that the watcher does not repeat it without a pause.
-        watcher.answerBy = std::min(watcher.answerBy, this->timers.now() + ConfirmationHold);
+        watcher.deadline = std::min(watcher.deadline, this->timers.now() + ConfirmationTimeout);
         this->confirmWatcher(std::move(watcher));
         return;
     }
-    if (this->hasUrgentNewsFor(request)) {
+    if (this->hasUrgentUpdateFor(request)) {
         this->answerWatcher(watcher, false);
         return;
     }
-    if (this->hasNewsFor(request)) {
-        this->scheduleArrivals();
+    if (this->hasUpdateFor(request)) {
+        this->scheduleArrivalNotification();
     }
     this->watchers.push_back(std::move(watcher));
 }
@@ -102,7 +102,7 @@
         if (weak.expired()) {
             return;
         }
-        if (confirmed || this->hasUrgentNewsFor(watcher.request)) {
+        if (confirmed || this->hasUrgentUpdateFor(watcher.request)) {
             this->answerWatcher(watcher, confirmed);
         } else {
             this->watchers.push_back(watcher);
@@ -125,12 +125,12 @@
     }
 }
 
-std::vector<std::string> WatchService::heardFor(const std::string &watcher)
+std::vector<std::string> WatchService::receivedHeartbeatsFor(const std::string &watcher)
 {
-    const auto since = std::exchange(this->heardUntil[watcher], this->timers.now());
+    const auto since = std::exchange(this->heartbeatsReportedUntil[watcher], this->timers.now());
     auto heard = this->registry.mergedSince(since);
-    const auto gatewaysHeard = this->gateways.mergedSince(since);
-    heard.insert(heard.end(), gatewaysHeard.begin(), gatewaysHeard.end());
+    const auto gatewayIds = this->gateways.mergedSince(since);
+    heard.insert(heard.end(), gatewayIds.begin(), gatewayIds.end());
     return heard;
 }
 
@@ -167,7 +167,7 @@
     reply.coordinatorIncarnation = this->options.incarnation;
     this->addRegistry(reply, request);
     if (request.wantsHeard) {
-        reply.heard = this->heardFor(request.watcherName);
+        reply.heard = this->receivedHeartbeatsFor(request.watcherName);
     }
     reply.declarationVersion = this->log.version();
     if (request.wantsDeclaration && reply.declarationVersion > request.declarationVersion) {
@@ -192,43 +192,43 @@
 
 void WatchService::scheduleNotification()
 {
-    if (this->newsTimer.isActive()) {
+    if (this->notificationTimer.isActive()) {
         return;
     }
-    this->newsTimer = this->timers.once(NewsDelay, [this](Core::Instant) {
-        this->answerWatchersWithNews();
+    this->notificationTimer = this->timers.once(UrgentNotificationDelay, [this](Core::Instant) {
+        this->notifyWatchers();
     });
 }
 
-void WatchService::scheduleArrivals()
+void WatchService::scheduleArrivalNotification()
 {
     if (this->arrivalTimer.isActive()) {
         return;
     }
-    this->arrivalTimer = this->timers.once(ArrivalDelay, [this](Core::Instant) {
+    this->arrivalTimer = this->timers.once(ArrivalNotificationDelay, [this](Core::Instant) {
         this->answerWhere([this](const WaitingWatcher &watcher) {
-            return this->hasNewsFor(watcher.request);
+            return this->hasUpdateFor(watcher.request);
         });
     });
 }
 
-void WatchService::answerWatchersWithNews()
+void WatchService::notifyWatchers()
 {
     this->answerWhere([this](const WaitingWatcher &watcher) {
-        return this->hasUrgentNewsFor(watcher.request);
+        return this->hasUrgentUpdateFor(watcher.request);
     });
-    const bool othersHaveNews = std::any_of(this->watchers.begin(), this->watchers.end(), [this](const WaitingWatcher &watcher) {
-        return this->hasNewsFor(watcher.request);
+    const bool othersHaveUpdate = std::any_of(this->watchers.begin(), this->watchers.end(), [this](const WaitingWatcher &watcher) {
+        return this->hasUpdateFor(watcher.request);
     });
-    if (othersHaveNews) {
-        this->scheduleArrivals();
+    if (othersHaveUpdate) {
+        this->scheduleArrivalNotification();
     }
 }
 
-void WatchService::answerOverdueWatchers()
+void WatchService::answerTimedOutWatchers()
 {
     this->answerWhere([now = this->timers.now()](const WaitingWatcher &watcher) {
-        return watcher.answerBy <= now;
+        return watcher.deadline <= now;
     });
 }
 
--- a/Libraries/LibCoordinator/WatchService.h
+++ b/Libraries/LibCoordinator/WatchService.h
@@ -21,7 +21,7 @@
     /** Identifies this incarnation of the coordinator. Cursors of another incarnation are not valid. */
     std::int64_t incarnation{0};
     /** A watch request for which there is no update is answered after this long (CoordinatorOptions::longPollTimeout). */
-    Core::Duration hold{Core::milliseconds(1800)};
+    Core::Duration longPollTimeout{Core::milliseconds(1800)};
 };
 
 /** Answers watch requests from the log and the registries of its coordinator, which have to outlive it. */
@@ -55,7 +55,7 @@
     struct WaitingWatcher {
         Protocol::WatchRequest request;
         std::function<void(const Protocol::WatchReply &reply)> done;
-        Core::Instant answerBy;
+        Core::Instant deadline;
     };
 
     void answerWatcher(const WaitingWatcher &watcher, bool confirmed);
@@ -63,17 +63,17 @@
     void addDeclaration(Protocol::WatchReply &reply, std::int64_t knownVersion);
     void confirmWatcher(WaitingWatcher watcher);
     void confirmWatchers();
-    [[nodiscard]] bool hasRegistryNewsFor(const Protocol::WatchRequest &request) const;
+    [[nodiscard]] bool hasRegistryUpdateFor(const Protocol::WatchRequest &request) const;
     /** Whether there are operators' orders that the watcher does not hold. */
     [[nodiscard]] bool hasOrdersFor(const Protocol::WatchRequest &request) const;
-    [[nodiscard]] bool hasNewsFor(const Protocol::WatchRequest &request) const;
-    [[nodiscard]] bool hasUrgentNewsFor(const Protocol::WatchRequest &request) const;
-    void scheduleArrivals();
-    void answerWatchersWithNews();
-    void answerOverdueWatchers();
+    [[nodiscard]] bool hasUpdateFor(const Protocol::WatchRequest &request) const;
+    [[nodiscard]] bool hasUrgentUpdateFor(const Protocol::WatchRequest &request) const;
+    void scheduleArrivalNotification();
+    void notifyWatchers();
+    void answerTimedOutWatchers();
     /** Answers the held watch requests for which a condition is true, without a confirmation. */
     void answerWhere(const std::function<bool(const WaitingWatcher &watcher)> &condition);
-    [[nodiscard]] std::vector<std::string> heardFor(const std::string &watcher);
+    [[nodiscard]] std::vector<std::string> receivedHeartbeatsFor(const std::string &watcher);
 
     WatchServiceOptions options;
     DeclarationLog &log;
@@ -81,11 +81,11 @@
     const Fleet::BackendRegistry &gateways;
     Core::TimerService &timers;
     std::list<WaitingWatcher> watchers;
-    // By the name of a watching coordinator, up to when it has been told which ids sent heartbeats here.
-    std::map<std::string, Core::Instant> heardUntil;
-    Core::TimerSubscription newsTimer;
+    // By the name of a watching coordinator, up to when the ids whose heartbeats were received here have been sent to it.
+    std::map<std::string, Core::Instant> heartbeatsReportedUntil;
+    Core::TimerSubscription notificationTimer;
     Core::TimerSubscription arrivalTimer;
-    Core::TimerSubscription overdueTimer;
+    Core::TimerSubscription timeoutTimer;
     std::shared_ptr<int> alive{std::make_shared<int>(0)};
 };
 
--- a/Libraries/LibFleet/BackendRegistry.cpp
+++ b/Libraries/LibFleet/BackendRegistry.cpp
@@ -18,12 +18,12 @@
 }
 
 // Whether two announcements differ in a field that watchers act on. A higher sequence alone only shows that the backend server still runs.
-static bool differs(const BackendAnnouncement &held, const BackendAnnouncement &incoming)
+static bool hasVisibleDifference(const BackendAnnouncement &held, const BackendAnnouncement &incoming)
 {
     return held.phase != incoming.phase || held.address != incoming.address || held.serviceName != incoming.serviceName || held.slots != incoming.slots;
 }
 
-static bool isLeaver(const BackendAnnouncement &announcement)
+static bool isDeparture(const BackendAnnouncement &announcement)
 {
     return announcement.phase == BackendPhase::DRAINING || announcement.phase == BackendPhase::GONE;
 }
@@ -35,7 +35,7 @@
 }
 
 // Whether an announcement is a deregistration that does not name the incarnation that it ends.
-static bool isFarewellOfAnyLife(const BackendAnnouncement &announcement)
+static bool isDeregistrationWithoutIncarnation(const BackendAnnouncement &announcement)
 {
     return announcement.born == 0 && announcement.phase == BackendPhase::GONE;
 }
@@ -47,7 +47,7 @@
         // Rule G6: A later incarnation replaces the earlier one, whatever phase the earlier one was in.
         return true;
     }
-    if (announcement.born < held.born && !isFarewellOfAnyLife(announcement)) {
+    if (announcement.born < held.born && !isDeregistrationWithoutIncarnation(announcement)) {
         // Rule G6: A late announcement of an earlier incarnation changes nothing.
         return false;
     }
@@ -64,7 +64,7 @@
 bool BackendRegistry::mergeHeartbeat(const BackendAnnouncement &heartbeat, Core::Instant now)
 {
     const auto found = this->records.find(heartbeat.id);
-    const bool mayBeLate = found != this->records.end() && now < found->second.farewellHoldsUntil.value_or(now);
+    const bool mayBeLate = found != this->records.end() && now < found->second.discardHeartbeatsUntil.value_or(now);
     return !mayBeLate && this->merge(heartbeat, now);
 }
 
@@ -78,31 +78,31 @@
     const bool isNewIncarnation = !isNew && announcement.born > record.announcement.born;
     if (isNewIncarnation) {
         // Everything recorded of the earlier incarnation is reset, except the position of its change, by which the record stands in byChange.
-        record = BackendRecord{.announcement = {}, .farewellHoldsUntil = {}, .confirmBy = {}, .changedAt = record.changedAt};
+        record = BackendRecord{.announcement = {}, .discardHeartbeatsUntil = {}, .confirmBy = {}, .changePosition = record.changePosition};
     }
     const auto warmUntil = now + Core::milliseconds(announcement.warmupLeftMs);
-    const bool turnedCold = warmUntil > std::max(now, record.warmUntil) + this->options.coldNews;
-    const bool news = isNew || isNewIncarnation || turnedCold || differs(record.announcement, announcement);
-    const bool knowsPlace = !announcement.address.empty();
+    const bool turnedCold = warmUntil > std::max(now, record.warmUntil) + this->options.warmupChangeThreshold;
+    const bool hasUpdate = isNew || isNewIncarnation || turnedCold || hasVisibleDifference(record.announcement, announcement);
+    const bool hasAddress = !announcement.address.empty();
     const auto sequence = std::max(record.announcement.sequence, announcement.sequence);
     const auto born = std::max(record.announcement.born, announcement.born);
-    if (isNew || isNewIncarnation || knowsPlace) {
+    if (isNew || isNewIncarnation || hasAddress) {
         record.announcement = announcement;
     }
     record.announcement.phase = announcement.phase;
     record.announcement.sequence = sequence;
     record.announcement.born = born;
-    if (isNew && isFarewellOfAnyLife(announcement)) {
-        record.farewellHoldsUntil = now + this->options.farewellHold;
+    if (isNew && isDeregistrationWithoutIncarnation(announcement)) {
+        record.discardHeartbeatsUntil = now + this->options.lateHeartbeatWindow;
     }
     record.warmUntil = warmUntil;
     record.lastHeartbeat = now;
     record.lastMerged = now;
     record.confirmBy.reset();
-    if (news) {
-        this->noteChange(record);
+    if (hasUpdate) {
+        this->recordChange(record);
     }
-    return news;
+    return hasUpdate;
 }
 
 bool BackendRegistry::markGone(const std::string &id, Core::Instant now, std::int64_t born)
@@ -161,13 +161,13 @@
     }));
 }
 
-std::size_t BackendRegistry::expire(Core::Instant now, Core::Duration silence)
+std::size_t BackendRegistry::expire(Core::Instant now, Core::Duration heartbeatTimeout)
 {
     std::vector<BackendAnnouncement> silent;
     for (const auto &[id, record] : this->records) {
         const auto phase = record.announcement.phase;
         const bool expires = phase == BackendPhase::READY || phase == BackendPhase::DRAINING;
-        if (expires && now - record.lastHeartbeat >= silence) {
+        if (expires && now - record.lastHeartbeat >= heartbeatTimeout) {
             silent.push_back(record.announcement);
         }
     }
@@ -222,10 +222,10 @@
 {
     std::erase_if(this->records, [this, now](const auto &item) {
         const auto &record = item.second;
-        const bool over = record.announcement.phase == BackendPhase::GONE || record.announcement.phase == BackendPhase::SILENT;
-        const bool forgotten = over && now - record.lastHeartbeat >= this->options.retention;
+        const bool hasEnded = record.announcement.phase == BackendPhase::GONE || record.announcement.phase == BackendPhase::SILENT;
+        const bool forgotten = hasEnded && now - record.lastHeartbeat >= this->options.retention;
         if (forgotten) {
-            this->byChange.erase(record.changedAt);
+            this->byChange.erase(record.changePosition);
         }
         return forgotten;
     });
@@ -251,16 +251,16 @@
 
 std::vector<BackendAnnouncement> BackendRegistry::departuresSince(std::int64_t position, Core::Instant now) const
 {
-    auto leavers = this->changedSince(position, now);
-    std::erase_if(leavers, [](const BackendAnnouncement &announcement) {
-        return !isLeaver(announcement);
+    auto departures = this->changedSince(position, now);
+    std::erase_if(departures, [](const BackendAnnouncement &announcement) {
+        return !isDeparture(announcement);
     });
-    return leavers;
+    return departures;
 }
 
 std::int64_t BackendRegistry::departurePosition() const
 {
-    return this->latestLeaver;
+    return this->latestDeparture;
 }
 
 std::int64_t BackendRegistry::position() const
@@ -273,13 +273,13 @@
     return this->records.size();
 }
 
-void BackendRegistry::noteChange(BackendRecord &record)
+void BackendRegistry::recordChange(BackendRecord &record)
 {
-    this->byChange.erase(record.changedAt);
-    record.changedAt = ++this->changes;
-    this->byChange[record.changedAt] = record.announcement.id;
-    if (isLeaver(record.announcement)) {
-        this->latestLeaver = record.changedAt;
+    this->byChange.erase(record.changePosition);
+    record.changePosition = ++this->changes;
+    this->byChange[record.changePosition] = record.announcement.id;
+    if (isDeparture(record.announcement)) {
+        this->latestDeparture = record.changePosition;
     }
     if (this->changed) {
         this->changed(record);
--- a/Libraries/LibFleet/BackendRegistry.h
+++ b/Libraries/LibFleet/BackendRegistry.h
@@ -36,11 +36,11 @@
      * Set when the only thing known is a deregistration that did not name the incarnation it ends. Heartbeats before this time are discarded, since
      * they may be late ones of that incarnation.
      */
-    std::optional<Core::Instant> farewellHoldsUntil;
+    std::optional<Core::Instant> discardHeartbeatsUntil;
     /** Set while the record is unconfirmed, that is restored from disk without a heartbeat since: when it becomes silent unless a heartbeat is received. */
     std::optional<Core::Instant> confirmBy;
     /** Position of the latest change in the sequence of changes that watchers receive. */
-    std::int64_t changedAt{0};
+    std::int64_t changePosition{0};
 };
 
 /** Retention and timeouts of a registry. */
@@ -56,12 +56,12 @@
      * For this long after a deregistration that did not name the incarnation, heartbeats with the same id are discarded as late ones. Heartbeats arrive up
      * to some seconds late; one that arrives after this time is of an incarnation that started after the deregistration.
      */
-    Core::Duration farewellHold{Core::seconds(10)};
+    Core::Duration lateHeartbeatWindow{Core::seconds(10)};
     /**
      * When the warm-up of a backend server ends more than this much later than was known, it has turned cold again and watchers are notified. The value is
      * greater than the usual delay of a heartbeat, since a delay also moves the computed end of the same warm-up.
      */
-    Core::Duration coldNews{Core::milliseconds(500)};
+    Core::Duration warmupChangeThreshold{Core::milliseconds(500)};
 };
 
 /** Merges announcements of backend servers, or of gateways, into one record for each id. */
@@ -101,7 +101,7 @@
     [[nodiscard]] int readyCountIn(const std::string &zone) const;
 
     /** Applies the heartbeat timeout: ready backend servers that exceed it become silent, draining ones become gone. Returns how many. */
-    std::size_t expire(Core::Instant now, Core::Duration silence);
+    std::size_t expire(Core::Instant now, Core::Duration heartbeatTimeout);
 
     /** Restarts the heartbeat timeout of every record, for use after this process could not receive heartbeats for a while. */
     void restartHeartbeatTimeouts(Core::Instant now);
@@ -127,7 +127,7 @@
 private:
     /** Whether the merge rules let an announcement change the record of its backend server. */
     [[nodiscard]] static bool isCurrent(const BackendRecord &record, const Protocol::BackendAnnouncement &announcement);
-    void noteChange(BackendRecord &record);
+    void recordChange(BackendRecord &record);
     void markSilent(Protocol::BackendAnnouncement announcement, Core::Instant now);
 
     RegistryOptions options;
@@ -135,7 +135,7 @@
     // Invariant: one item for each record, by the position of its latest change, so that a watcher's update is found without iterating all records.
     std::map<std::int64_t, std::string> byChange;
     std::int64_t changes{0};
-    std::int64_t latestLeaver{0};
+    std::int64_t latestDeparture{0};
 };
 
 }
--- a/Libraries/LibFleet/FleetWatcher.cpp
+++ b/Libraries/LibFleet/FleetWatcher.cpp
@@ -30,7 +30,7 @@
         position->second.endpoint = endpoint;
         position->second.order = std::hash<std::string>{}(this->options.name + endpoint.toString());
         position->second.addedAt = this->timers.now();
-        position->second.lastAnswer = this->timers.now();
+        position->second.lastReply = this->timers.now();
     }
     return position->second;
 }
@@ -42,7 +42,7 @@
             this->add(endpoint);
         }
     }
-    this->askChosen();
+    this->watchSelected();
 }
 
 void FleetWatcher::requestConfirmation()
@@ -53,12 +53,12 @@
 
 bool FleetWatcher::isConfirmed() const
 {
-    return this->confirmedVersion.has_value() && this->held() >= this->confirmedVersion.value();
+    return this->confirmedVersion.has_value() && this->heldVersion() >= this->confirmedVersion.value();
 }
 
 bool FleetWatcher::hasReceivedUpdate() const
 {
-    return this->anyAnswer;
+    return this->receivedReply;
 }
 
 std::size_t FleetWatcher::reachableCount() const
@@ -70,7 +70,7 @@
 
 std::optional<Core::Instant> FleetWatcher::lastLeaderSync() const
 {
-    return this->leaderKnown;
+    return this->latestLeaderSync;
 }
 
 std::vector<Core::Endpoint> FleetWatcher::coordinators() const
@@ -82,7 +82,7 @@
     return endpoints;
 }
 
-std::int64_t FleetWatcher::held() const
+std::int64_t FleetWatcher::heldVersion() const
 {
     return this->knownVersion ? this->knownVersion().value() : -1;
 }
@@ -104,9 +104,9 @@
 {
     const auto now = this->timers.now();
     const auto rank = [this, now](const Watched &watched) {
-        const bool doubtful = !watched.hasLeader;
-        const bool unanswered = !watched.reachable && now - watched.addedAt >= this->options.nearPatience;
-        return std::tuple(watched.failing, unanswered, doubtful, this->distanceOf(watched), watched.order);
+        const bool withoutLeader = !watched.hasLeader;
+        const bool unanswered = !watched.reachable && now - watched.addedAt >= this->options.crossRegionDelay;
+        return std::tuple(watched.failing, unanswered, withoutLeader, this->distanceOf(watched), watched.order);
     };
     std::vector<Watched *> rows;
     for (auto &[endpoint, watched] : this->table) {
@@ -118,7 +118,7 @@
     return rows;
 }
 
-std::vector<FleetWatcher::Watched *> FleetWatcher::chosen()
+std::vector<FleetWatcher::Watched *> FleetWatcher::selected()
 {
     auto rows = this->ranked();
     if (rows.size() > this->options.maximumWatched) {
@@ -137,8 +137,8 @@
     }
     const auto rows = this->ranked();
     // The zones of the coordinators are unknown until one of them has replied, so this coordinator may be in another region.
-    const bool mayBeFar = rows.size() > 1 && watched.zone.empty() && this->timers.now() - watched.addedAt < this->options.nearPatience;
-    if (mayBeFar) {
+    const bool mayBeInOtherRegion = rows.size() > 1 && watched.zone.empty() && this->timers.now() - watched.addedAt < this->options.crossRegionDelay;
+    if (mayBeInOtherRegion) {
         return RegistryInterest::NOTHING;
     }
     if (rows.front() == &watched) {
@@ -148,17 +148,17 @@
     return std::find(rows.begin(), end, &watched) != end ? RegistryInterest::LEAVERS : RegistryInterest::NOTHING;
 }
 
-void FleetWatcher::askChosen()
+void FleetWatcher::watchSelected()
 {
-    for (auto *watched : this->chosen()) {
-        const bool toldLess = watched->asking && watched->askedInterest != Protocol::RegistryInterest::EVERYTHING;
-        if (toldLess && this->interestIn(*watched) == Protocol::RegistryInterest::EVERYTHING) {
+    for (auto *watched : this->selected()) {
+        const bool isPartial = watched->inFlight && watched->requestedInterest != Protocol::RegistryInterest::EVERYTHING;
+        if (isPartial && this->interestIn(*watched) == Protocol::RegistryInterest::EVERYTHING) {
             // This coordinator is now the first one, since the previous one failed. It may hold the request in flight for long, so that request is
             // abandoned and the whole registry is requested at once.
-            dropQuestion(*watched);
+            abandonRequest(*watched);
         }
         if (!watched->retry.isActive()) {
-            this->ask(*watched);
+            this->sendRequest(*watched);
         }
     }
 }
@@ -174,13 +174,13 @@
     request.wantsHeard = this->options.wantsHeard;
     request.registryInterest = this->interestIn(watched);
     const bool wantsEverything = request.registryInterest == Protocol::RegistryInterest::EVERYTHING;
-    if (wantsEverything && !watched.toldEverything) {
+    if (wantsEverything && !watched.receivedEverything) {
         request.cursor = 0;
         request.gatewayCursor = 0;
     }
-    const bool overdue = this->newestKnown > this->held() && this->timers.now() - this->newestKnownSince >= this->options.declarationFallbackDelay;
+    const bool overdue = this->newestNamedVersion > this->heldVersion() && this->timers.now() - this->newestNamedAt >= this->options.declarationFallbackDelay;
     request.wantsDeclaration = this->options.wantsOrders && (wantsEverything || overdue);
-    request.declarationVersion = request.wantsDeclaration ? this->heldTextVersion : std::max(this->held(), this->newestKnown);
+    request.declarationVersion = request.wantsDeclaration ? this->declarationTextVersion : std::max(this->heldVersion(), this->newestNamedVersion);
     request.evacuationRevision = this->evacuated.revision;
     if (!this->options.wantsOrders) {
         request.declarationVersion = INT64_MAX;
@@ -193,20 +193,20 @@
     return request;
 }
 
-void FleetWatcher::ask(Watched &watched)
+void FleetWatcher::sendRequest(Watched &watched)
 {
-    if (watched.asking) {
+    if (watched.inFlight) {
         return;
     }
-    watched.asking = true;
+    watched.inFlight = true;
     const auto endpoint = watched.endpoint;
     if (!watched.channel) {
         watched.channel = Rpc::RpcChannel::create({.endpoint = endpoint, .callTimeout = this->options.responseTimeout, .limits = {}}, this->timers);
     }
     const auto request = this->makeRequest(watched);
-    watched.askedInterest = request.registryInterest;
-    watched.question = ++this->lastQuestion;
-    watched.askedAt = this->timers.now();
+    watched.requestedInterest = request.registryInterest;
+    watched.requestNumber = ++this->lastRequestNumber;
+    watched.requestedAt = this->timers.now();
     const std::weak_ptr<int> weak = this->alive;
     Rpc::call<Protocol::CoordinatorCobClient, Protocol::WatchReply>(
         watched.channel,
@@ -216,86 +216,87 @@
         [](auto &client, auto &reply) {
             client.recv_watch(reply);
         },
-        [this, weak, endpoint, request, number = watched.question](const Core::Result<Protocol::WatchReply> &answer) {
-            const bool isWanted = !weak.expired() && this->table.contains(endpoint) && this->table.at(endpoint).question == number;
-            if (isWanted) {
-                this->handleOutcome(endpoint, answer, request);
+        [this, weak, endpoint, request, sentNumber = watched.requestNumber](const Core::Result<Protocol::WatchReply> &reply) {
+            const bool isCurrent = !weak.expired() && this->table.contains(endpoint) && this->table.at(endpoint).requestNumber == sentNumber;
+            if (isCurrent) {
+                this->handleOutcome(endpoint, reply, request);
             }
         });
 }
 
-void FleetWatcher::dropQuestion(Watched &watched)
+void FleetWatcher::abandonRequest(Watched &watched)
 {
     watched.channel.reset();
-    watched.asking = false;
-    watched.question = NoQuestion;
+    watched.inFlight = false;
+    watched.requestNumber = NoRequest;
 }
 
-void FleetWatcher::askLater(const Core::Endpoint &endpoint, Core::Duration pause)
+void FleetWatcher::scheduleRequest(const Core::Endpoint &endpoint, Core::Duration delay)
 {
-    this->table.at(endpoint).retry = this->timers.once(pause, [this, endpoint](Core::Instant) {
+    this->table.at(endpoint).retry = this->timers.once(delay, [this, endpoint](Core::Instant) {
         const auto found = this->table.find(endpoint);
         if (found == this->table.end()) {
             return;
         }
-        const auto rows = this->chosen();
-        const bool wanted = std::find(rows.begin(), rows.end(), &found->second) != rows.end();
+        const auto rows = this->selected();
+        const bool isSelected = std::find(rows.begin(), rows.end(), &found->second) != rows.end();
         // An unreachable coordinator is sent watch requests even when it is not selected, so that its recovery is noticed.
-        if (wanted || !found->second.reachable) {
-            this->ask(found->second);
+        if (isSelected || !found->second.reachable) {
+            this->sendRequest(found->second);
         } else {
-            dropQuestion(found->second);
+            abandonRequest(found->second);
             // Its last reply about the leader will be out of date when it is selected again, so a known leader is assumed.
             found->second.hasLeader = true;
         }
-        this->askChosen();
+        this->watchSelected();
     });
 }
 
-void FleetWatcher::handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &answer, const Protocol::WatchRequest &request)
+void FleetWatcher::handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &reply, const Protocol::WatchRequest &request)
 {
     auto &watched = this->table.at(endpoint);
-    watched.asking = false;
-    if (answer.has_value()) {
-        this->handleAnswer(watched, answer.value(), request);
+    watched.inFlight = false;
+    if (reply.has_value()) {
+        this->handleReply(watched, reply.value(), request);
     } else {
-        this->failed(watched, watched.channel->lastFailure());
+        this->handleFailure(watched, watched.channel->lastFailure());
     }
 }
 
-void FleetWatcher::handleAnswer(Watched &watched, const Protocol::WatchReply &answer, const Protocol::WatchRequest &request)
+void FleetWatcher::handleReply(Watched &watched, const Protocol::WatchReply &reply, const Protocol::WatchRequest &request)
 {
     using Protocol::RegistryInterest;
     const auto endpoint = watched.endpoint;
-    watched.lastAnswer = this->timers.now();
+    watched.lastReply = this->timers.now();
     watched.failing = false;
     if (!std::exchange(watched.reachable, true)) {
         Core::logEvent(Core::LogLevel::Information, "coordinator.reached", {{"coordinator", endpoint.toString()}});
     }
-    const bool isSameIncarnation = watched.incarnation == answer.coordinatorIncarnation;
-    const bool skipped = request.registryInterest == RegistryInterest::LEAVERS;
-    watched.toldEverything = request.registryInterest == RegistryInterest::EVERYTHING || (isSameIncarnation && watched.toldEverything && !skipped);
-    this->takeNews(watched, answer, request.declarationVersion);
-    if (answer.hasLeader && request.registryInterest == RegistryInterest::EVERYTHING) {
-        this->leaderKnown = std::max(this->leaderKnown, std::optional(watched.askedAt));
+    const bool isSameIncarnation = watched.incarnation == reply.coordinatorIncarnation;
+    const bool departuresOnly = request.registryInterest == RegistryInterest::LEAVERS;
+    watched.receivedEverything
+        = request.registryInterest == RegistryInterest::EVERYTHING || (isSameIncarnation && watched.receivedEverything && !departuresOnly);
+    this->applyReply(watched, reply, request.declarationVersion);
+    if (reply.hasLeader && request.registryInterest == RegistryInterest::EVERYTHING) {
+        this->latestLeaderSync = std::max(this->latestLeaderSync, std::optional(watched.requestedAt));
     }
-    if (request.confirm && answer.confirmed && this->wantsConfirmation) {
+    if (request.confirm && reply.confirmed && this->wantsConfirmation) {
         this->wantsConfirmation = false;
-        this->confirmedVersion = answer.declarationVersion;
-        Core::logEvent(Core::LogLevel::Information, "declaration.confirmed", {{"version", answer.declarationVersion}, {"coordinator", endpoint.toString()}});
+        this->confirmedVersion = reply.declarationVersion;
+        Core::logEvent(Core::LogLevel::Information, "declaration.confirmed", {{"version", reply.declarationVersion}, {"coordinator", endpoint.toString()}});
     }
     // NOTE: The next watch request is sent from the event loop, so that a coordinator that replies at once can't keep this function from returning. When the
     //       text of a newer declaration is missing, the request is delayed, so that it asks this coordinator for the text only if the first one has not sent
     //       it by then. It is not delayed while a confirmation is awaited, since no search is answered before the confirmation.
-    const bool textMissing = this->options.wantsOrders && this->newestKnown > this->held() && !this->wantsConfirmation;
-    this->askLater(endpoint, textMissing ? this->options.declarationFallbackDelay : Core::Duration(0));
-    this->askChosen();
+    const bool textMissing = this->options.wantsOrders && this->newestNamedVersion > this->heldVersion() && !this->wantsConfirmation;
+    this->scheduleRequest(endpoint, textMissing ? this->options.declarationFallbackDelay : Core::Duration(0));
+    this->watchSelected();
 }
 
-void FleetWatcher::takeNews(Watched &watched, const Protocol::WatchReply &reply, std::int64_t askedFrom)
+void FleetWatcher::applyReply(Watched &watched, const Protocol::WatchReply &reply, std::int64_t baseVersion)
 {
     const auto now = this->timers.now();
-    this->anyAnswer = true;
+    this->receivedReply = true;
     watched.incarnation = reply.coordinatorIncarnation;
     watched.cursor = reply.cursor;
     watched.gatewayCursor = reply.gatewayCursor;
@@ -310,12 +311,12 @@
         this->backends.recordRemoteHeartbeat(id, now);
         this->gateways.recordRemoteHeartbeat(id, now);
     }
-    if (reply.declarationVersion > this->newestKnown) {
-        this->newestKnown = reply.declarationVersion;
-        this->newestKnownSince = now;
+    if (reply.declarationVersion > this->newestNamedVersion) {
+        this->newestNamedVersion = reply.declarationVersion;
+        this->newestNamedAt = now;
     }
     this->applyEvacuations(reply);
-    this->applyDeclaration(reply, askedFrom);
+    this->applyDeclaration(reply, baseVersion);
     for (const auto &place : reply.coordinators) {
         const auto endpoint = Core::Endpoint::parse(place.address);
         if (endpoint.has_value() && endpoint.value() != this->options.own) {
@@ -341,48 +342,48 @@
     }
 }
 
-void FleetWatcher::applyDeclaration(const Protocol::WatchReply &reply, std::int64_t askedFrom)
+void FleetWatcher::applyDeclaration(const Protocol::WatchReply &reply, std::int64_t baseVersion)
 {
-    const bool carries = reply.__isset.declaration || reply.__isset.declarationDelta;
-    if (!carries || reply.declarationVersion <= this->heldTextVersion) {
+    const bool hasDeclaration = reply.__isset.declaration || reply.__isset.declarationDelta;
+    if (!hasDeclaration || reply.declarationVersion <= this->declarationTextVersion) {
         return;
     }
-    if (!reply.__isset.declaration && askedFrom != this->heldTextVersion) {
+    if (!reply.__isset.declaration && baseVersion != this->declarationTextVersion) {
         // The reply of another coordinator was applied after this request was sent, so the delta is based on a text other than the one held now. The next
         // watch request names the version that is held.
         return;
     }
-    auto text = reply.__isset.declaration ? expandText(reply.declaration, MaximumTextBytes) : applyTextDelta(this->heldText, reply.declarationDelta);
+    auto text = reply.__isset.declaration ? expandText(reply.declaration, MaximumTextBytes) : applyTextDelta(this->declarationText, reply.declarationDelta);
     if (!text.has_value()) {
         // Without a held text the next watch request asks for the whole text.
         Core::logEvent(Core::LogLevel::Error, "declaration.unreadable", {{"version", reply.declarationVersion}, {"error", text.error().message}});
-        this->heldText.clear();
-        this->heldTextVersion = -1;
+        this->declarationText.clear();
+        this->declarationTextVersion = -1;
         return;
     }
-    this->heldText = std::move(text.value());
-    this->heldTextVersion = reply.declarationVersion;
+    this->declarationText = std::move(text.value());
+    this->declarationTextVersion = reply.declarationVersion;
     if (this->declarationReceived) {
-        this->declarationReceived(DeclarationVersion(reply.declarationVersion), this->heldText);
+        this->declarationReceived(DeclarationVersion(reply.declarationVersion), this->declarationText);
     }
 }
 
-void FleetWatcher::failed(Watched &watched, const std::string &reason)
+void FleetWatcher::handleFailure(Watched &watched, const std::string &reason)
 {
     const auto endpoint = watched.endpoint;
     watched.failing = true;
     if (std::exchange(watched.reachable, false)) {
         Core::logEvent(Core::LogLevel::Warning, "coordinator.lost", {{"coordinator", endpoint.toString()}, {"reason", reason}});
     }
-    const bool othersAnswer = this->reachableCount() > 0;
-    if (othersAnswer && this->timers.now() - watched.lastAnswer >= this->options.removalTimeout) {
+    const bool othersReachable = this->reachableCount() > 0;
+    if (othersReachable && this->timers.now() - watched.lastReply >= this->options.removalTimeout) {
         // A removed coordinator that recovers is added again, since the replies of the others name it.
         Core::logEvent(Core::LogLevel::Information, "coordinator.given_up", {{"coordinator", endpoint.toString()}});
         this->table.erase(endpoint);
         return;
     }
-    this->askLater(endpoint, this->options.retryPause);
-    this->askChosen();
+    this->scheduleRequest(endpoint, this->options.retryDelay);
+    this->watchSelected();
 }
 
 }
--- a/Libraries/LibFleet/FleetWatcher.h
+++ b/Libraries/LibFleet/FleetWatcher.h
@@ -41,7 +41,7 @@
      */
     Core::Duration responseTimeout{Core::milliseconds(2800)};
     /** Delay before the next watch request to a coordinator after one failed. */
-    Core::Duration retryPause{Core::milliseconds(200)};
+    Core::Duration retryDelay{Core::milliseconds(200)};
     /** A declaration that the first coordinator has not sent this long after its version became known is requested from the other coordinators, too. */
     Core::Duration declarationFallbackDelay{Core::milliseconds(300)};
     /**
@@ -49,7 +49,7 @@
      * cross-region traffic is expensive. A coordinator that listens accepts a connection within a round trip, and a lost first packet is sent again after
      * 0.3 s.
      */
-    Core::Duration nearPatience{Core::milliseconds(500)};
+    Core::Duration crossRegionDelay{Core::milliseconds(500)};
     /** A failing coordinator is removed after this long without a reply, while others reply. It is added again when a reply names it. */
     Core::Duration removalTimeout{Core::seconds(20)};
 };
@@ -95,7 +95,7 @@
     std::function<void(DeclarationVersion version, const std::string &content)> declarationReceived;
 
 private:
-    static constexpr std::uint64_t NoQuestion = 0;
+    static constexpr std::uint64_t NoRequest = 0;
     struct Watched {
         Core::Endpoint endpoint;
         std::string zone;
@@ -104,13 +104,13 @@
         std::int64_t cursor{0};
         std::int64_t gatewayCursor{0};
         // Whether its updates up to the cursors contained all changes and not only departures.
-        bool toldEverything{false};
-        bool asking{false};
+        bool receivedEverything{false};
+        bool inFlight{false};
         // Number of the watch request in flight. The outcome of another one is discarded: an abandoned request may still end, since its channel exists
         // until the call has ended.
-        std::uint64_t question{NoQuestion};
+        std::uint64_t requestNumber{NoRequest};
         // The registry interest of the watch request in flight.
-        Protocol::RegistryInterest::type askedInterest{Protocol::RegistryInterest::NOTHING};
+        Protocol::RegistryInterest::type requestedInterest{Protocol::RegistryInterest::NOTHING};
         bool reachable{false};
         // Whether the last watch request failed. A coordinator that was never sent one is neither reachable nor failing.
         bool failing{false};
@@ -119,29 +119,29 @@
         // Rank among coordinators at the same distance. It differs between watchers, so that they spread over the coordinators.
         std::size_t order{0};
         Core::Instant addedAt;
-        Core::Instant lastAnswer;
+        Core::Instant lastReply;
         // When the watch request in flight was sent.
-        Core::Instant askedAt;
+        Core::Instant requestedAt;
         Core::TimerSubscription retry;
     };
 
     Watched &add(const Core::Endpoint &endpoint);
-    void askChosen();
+    void watchSelected();
     [[nodiscard]] std::vector<Watched *> ranked();
-    [[nodiscard]] std::vector<Watched *> chosen();
+    [[nodiscard]] std::vector<Watched *> selected();
     [[nodiscard]] Protocol::RegistryInterest::type interestIn(const Watched &watched);
     [[nodiscard]] int distanceOf(const Watched &watched) const;
-    void ask(Watched &watched);
-    static void dropQuestion(Watched &watched);
-    void handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &answer, const Protocol::WatchRequest &request);
-    void askLater(const Core::Endpoint &endpoint, Core::Duration pause);
+    void sendRequest(Watched &watched);
+    static void abandonRequest(Watched &watched);
+    void handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &reply, const Protocol::WatchRequest &request);
+    void scheduleRequest(const Core::Endpoint &endpoint, Core::Duration delay);
     [[nodiscard]] Protocol::WatchRequest makeRequest(Watched &watched);
-    void handleAnswer(Watched &watched, const Protocol::WatchReply &answer, const Protocol::WatchRequest &request);
-    void takeNews(Watched &watched, const Protocol::WatchReply &reply, std::int64_t askedFrom);
+    void handleReply(Watched &watched, const Protocol::WatchReply &reply, const Protocol::WatchRequest &request);
+    void applyReply(Watched &watched, const Protocol::WatchReply &reply, std::int64_t baseVersion);
     void applyEvacuations(const Protocol::WatchReply &reply);
-    void applyDeclaration(const Protocol::WatchReply &reply, std::int64_t askedFrom);
-    void failed(Watched &watched, const std::string &reason);
-    [[nodiscard]] std::int64_t held() const;
+    void applyDeclaration(const Protocol::WatchReply &reply, std::int64_t baseVersion);
+    void handleFailure(Watched &watched, const std::string &reason);
+    [[nodiscard]] std::int64_t heldVersion() const;
 
     WatcherOptions options;
     BackendRegistry &backends;
@@ -149,19 +149,19 @@
     Core::TimerService &timers;
     std::map<Core::Endpoint, Watched> table;
     // Invariant: no two watch requests have the same number, even to a coordinator that was removed and added again in between.
-    std::uint64_t lastQuestion{NoQuestion};
+    std::uint64_t lastRequestNumber{NoRequest};
     bool wantsConfirmation{false};
     // The declaration version that a quorum confirmed to be the newest. Its text may not have been received yet.
     std::optional<std::int64_t> confirmedVersion;
     Protocol::Evacuations evacuated;
-    bool anyAnswer{false};
-    std::optional<Core::Instant> leaderKnown;
+    bool receivedReply{false};
+    std::optional<Core::Instant> latestLeaderSync;
     // The text of the last received declaration, as the base of the next delta. Not compressed, since each change needs it.
-    std::string heldText;
-    std::int64_t heldTextVersion{-1};
+    std::string declarationText;
+    std::int64_t declarationTextVersion{-1};
     // The newest declaration version that any coordinator named, and when it was first named.
-    std::int64_t newestKnown{-1};
-    Core::Instant newestKnownSince;
+    std::int64_t newestNamedVersion{-1};
+    Core::Instant newestNamedAt;
     std::shared_ptr<int> alive{std::make_shared<int>(0)};
 };
 
--- a/Tests/LibCoordinator/TestEvacuatedZones.cpp
+++ b/Tests/LibCoordinator/TestEvacuatedZones.cpp
@@ -24,23 +24,23 @@
 }
 
 /** The log of a coordinator that is the only member, over a folder that outlives the log. */
-class LoneLog : public TestSupport::LoopFixture
+class SingleMemberLog : public TestSupport::LoopFixture
 {
 public:
-    LoneLog() : folder(std::filesystem::temp_directory_path() / ("crankrudder-evacuations-" + std::to_string(getpid())))
+    SingleMemberLog() : folder(std::filesystem::temp_directory_path() / ("crankrudder-evacuations-" + std::to_string(getpid())))
     {
         std::filesystem::remove_all(this->folder);
         std::filesystem::create_directories(this->folder);
         this->open();
-        auto &log = *this->declarations->log();
+        auto &replicatedLog = *this->declarations->log();
         Protocol::Membership initialMembers;
-        initialMembers.members = {log.identity()};
+        initialMembers.members = {replicatedLog.identity()};
         initialMembers.members.front().voter = true;
-        cr_assert(log.bootstrap(initialMembers).has_value());
+        cr_assert(replicatedLog.bootstrap(initialMembers).has_value());
         this->waitForLeader();
     }
 
-    ~LoneLog()
+    ~SingleMemberLog()
     {
         this->declarations.reset();
         std::filesystem::remove_all(this->folder);
@@ -82,7 +82,7 @@
 
 }
 
-Test(EvacuatedZones, anOrderThatIsSentAgainChangesNothing)
+Test(EvacuatedZones, aRepeatedOrderChangesNothing)
 {
     Coordinator::EvacuatedZones zones;
     cr_assert(zones.apply(order("a", true)));
@@ -95,7 +95,7 @@
     cr_assert_eq(zones.current().revision, 3);
 }
 
-Test(EvacuatedZones, anOlderSnapshotTakesNothingBack)
+Test(EvacuatedZones, anOlderSnapshotIsIgnored)
 {
     Coordinator::EvacuatedZones zones;
     zones.apply(order("a", true));
@@ -109,27 +109,27 @@
 }
 
 // Acknowledged evacuations have to survive a restart, whether they are contained in the log or only in a snapshot.
-Test(DeclarationLog, holdsEvacuationsThroughRestarts)
+Test(DeclarationLog, restoresEvacuationsAfterRestarts)
 {
-    LoneLog lone;
-    lone.evacuate("a", true);
-    lone.evacuate("b", true);
-    lone.open();
-    lone.waitForLeader();
-    cr_assert(lone.runUntil([&] {
-        return lone.declarations->evacuations().zones.size() == 2;
+    SingleMemberLog log;
+    log.evacuate("a", true);
+    log.evacuate("b", true);
+    log.open();
+    log.waitForLeader();
+    cr_assert(log.runUntil([&] {
+        return log.declarations->evacuations().zones.size() == 2;
     }));
     // These are more orders than entries between two snapshots.
     for (int round = 0; round < 4; ++round) {
-        lone.evacuate("a", false);
-        lone.evacuate("a", true);
+        log.evacuate("a", false);
+        log.evacuate("a", true);
     }
-    lone.evacuate("b", false);
-    const auto revision = lone.declarations->evacuations().revision;
-    lone.open();
-    lone.waitForLeader();
-    cr_assert(lone.runUntil([&] {
-        return lone.declarations->evacuations().revision == revision;
+    log.evacuate("b", false);
+    const auto revision = log.declarations->evacuations().revision;
+    log.open();
+    log.waitForLeader();
+    cr_assert(log.runUntil([&] {
+        return log.declarations->evacuations().revision == revision;
     }));
-    cr_assert(lone.declarations->evacuations().zones == std::vector<std::string>{"a"});
+    cr_assert(log.declarations->evacuations().zones == std::vector<std::string>{"a"});
 }
--- a/Tests/LibCoordinator/TestMembershipPolicy.cpp
+++ b/Tests/LibCoordinator/TestMembershipPolicy.cpp
@@ -23,7 +23,7 @@
 };
 
 struct Case {
-    const char *what;
+    const char *description;
     std::vector<MemberState> members;
     std::optional<MemberChangeKind::type> kind;
     const char *member;
@@ -31,7 +31,7 @@
 
 }
 
-Test(MembershipPolicy, takesOneSafeStepAtATime)
+Test(MembershipPolicy, promotesALearnerBeforeItRemovesALostVoter)
 {
     const std::vector<Case> cases{
         {"three voters are reachable", {{"a", "1", true, 0, 9}, {"b", "2", true, 0, 9}, {"c", "3", true, 0, 9}}, std::nullopt, ""},
@@ -92,8 +92,8 @@
             return Core::seconds(stateOf(name).silentSeconds);
         };
         const auto change = Coordinator::chooseMemberChange(view, {});
-        cr_assert(change.has_value() == item.kind.has_value(), "%s", item.what);
-        cr_assert(!change.has_value() || change->kind == item.kind.value(), "%s", item.what);
-        cr_assert(!change.has_value() || change->member.name == item.member, "%s", item.what);
+        cr_assert(change.has_value() == item.kind.has_value(), "%s", item.description);
+        cr_assert(!change.has_value() || change->kind == item.kind.value(), "%s", item.description);
+        cr_assert(!change.has_value() || change->member.name == item.member, "%s", item.description);
     }
 }
--- a/Tests/LibCoordinator/TestRegistryStore.cpp
+++ b/Tests/LibCoordinator/TestRegistryStore.cpp
@@ -49,31 +49,31 @@
 
 }
 
-Test(RegistryStore, keepsWhoIsReadyOverALossOfPower)
+Test(RegistryStore, restoresReadyBackendsAfterALossOfPower)
 {
     TestSupport::FakeFolder folder;
     std::mt19937_64 random(1);
     Coordinator::RegistryStore store;
-    store.note(announcement("a"));
-    store.note(announcement("b"));
+    store.addChange(announcement("a"));
+    store.addChange(announcement("b"));
     cr_assert(store.flush(folder).has_value());
-    store.note(announcement("c"));
-    store.note(announcement("a", BackendPhase::DRAINING));
+    store.addChange(announcement("c"));
+    store.addChange(announcement("a", BackendPhase::DRAINING));
     cr_assert(store.flush(folder).has_value());
     cr_assert_not(store.hasUnwritten());
     folder.crash(random);
     cr_assert(idsIn(folder) == Ids({"b", "c"}));
 }
 
-Test(RegistryStore, readsWhatIsWholeOfAFileThatWasCutShort)
+Test(RegistryStore, readsTheIntactPartOfATruncatedFile)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         TestSupport::FakeFolder folder;
         std::mt19937_64 random(seed);
         Coordinator::RegistryStore store;
-        store.note(announcement("a"));
+        store.addChange(announcement("a"));
         cr_assert(store.flush(folder).has_value());
-        store.note(announcement("b"));
+        store.addChange(announcement("b"));
         // The write succeeds and the sync fails.
         folder.failAfter(1);
         cr_assert_not(store.flush(folder).has_value());
@@ -84,32 +84,32 @@
     }
 }
 
-Test(RegistryStore, writesEverythingAnewAfterAFailure)
+Test(RegistryStore, rewritesTheWholeFileAfterAFailure)
 {
     TestSupport::FakeFolder folder;
     Coordinator::RegistryStore store;
-    store.note(announcement("a"));
+    store.addChange(announcement("a"));
     folder.failAfter(0);
     cr_assert_not(store.flush(folder).has_value());
     folder.failNever();
-    store.note(announcement("b"));
+    store.addChange(announcement("b"));
     cr_assert(store.flush(folder).has_value());
     cr_assert(idsIn(folder) == Ids({"a", "b"}));
 }
 
-Test(RegistryStore, theFileStaysShortOverManyChanges)
+Test(RegistryStore, boundsTheLengthOfTheFile)
 {
     TestSupport::FakeFolder folder;
     Coordinator::RegistryStore store;
     for (int count = 0; count < 4000; ++count) {
-        store.note(announcement("a", count % 2 == 0 ? BackendPhase::SILENT : BackendPhase::READY, count));
+        store.addChange(announcement("a", count % 2 == 0 ? BackendPhase::SILENT : BackendPhase::READY, count));
         cr_assert(store.flush(folder).has_value());
     }
     cr_assert_leq(folder.size("backends"), 64 * 1024);
     cr_assert(idsIn(folder) == Ids({"a"}));
 }
 
-Test(RestoredRegistry, servesAtOnceAndForgetsWhoMakesNoHeartbeat)
+Test(RestoredRegistry, isReadyUntilTheUnconfirmedTimeout)
 {
     Fleet::BackendRegistry registry;
     const Core::Instant start(Core::seconds(100));
@@ -127,7 +127,7 @@
     cr_assert_eq(registry.find("ended")->announcement.phase, BackendPhase::READY);
 }
 
-Test(RestoredRegistry, neverBringsBackOneThatIsKnownToHaveLeft)
+Test(RestoredRegistry, doesNotReplaceADeregistration)
 {
     Fleet::BackendRegistry registry;
     const Core::Instant now(Core::seconds(100));
@@ -136,7 +136,7 @@
     cr_assert_eq(registry.find("left")->announcement.phase, BackendPhase::GONE);
 }
 
-Test(RestoredRegistry, aHeartbeatThatReachedAnotherCoordinatorConfirms)
+Test(RestoredRegistry, isConfirmedByARemoteHeartbeat)
 {
     Fleet::BackendRegistry registry;
     const Core::Instant start(Core::seconds(100));
@@ -145,23 +145,24 @@
     cr_assert_eq(registry.expireUnconfirmed(start + Core::seconds(10)), 0);
 }
 
-// A coordinator restores thousands of backend servers from its disk. Each of them sends a heartbeat within one period and its delay. A backend server that is
-// marked silent before is removed from all gateways and sent to them again with its heartbeat.
-Test(RegistryStore, takesNobodyForSilentBeforeItsHeartbeatCanHaveCome)
+// A coordinator restores thousands of backend servers from its disk, which send a heartbeat every 5 s. Each heartbeat is received within one period and its
+// delay. A backend server that is marked silent before is removed from all gateways and sent to them again with its heartbeat.
+Test(RegistryStore, appliesTheUnconfirmedTimeoutOnlyAfterAHeartbeatCouldArrive)
 {
     for (const auto period : {Core::milliseconds(400), Core::milliseconds(1200), Core::milliseconds(5000)}) {
         Fleet::BackendRegistry registry({.unconfirmedTimeout = Fleet::HeartbeatTimes::of(period).unconfirmedTimeout});
         static constexpr int Servers = 1000;
         std::mt19937_64 random(3);
-        std::multimap<Core::Duration, std::string> calls;
+        std::multimap<Core::Duration, std::string> heartbeats;
         for (int number = 0; number < Servers; ++number) {
             const auto name = std::to_string(number);
             registry.restore(announcement(name), Core::Instant());
             const auto late = random() % 20 == 0 ? Core::milliseconds(static_cast<std::int64_t>(random() % 2000)) : Core::Duration(0);
-            calls.emplace(Core::Duration(static_cast<Core::Duration::rep>(random() % static_cast<std::uint64_t>(Core::Duration(period).count()))) + late, name);
+            heartbeats.emplace(
+                Core::Duration(static_cast<Core::Duration::rep>(random() % static_cast<std::uint64_t>(Core::Duration(period).count()))) + late, name);
         }
         std::size_t silent = 0;
-        for (const auto &[time, name] : calls) {
+        for (const auto &[time, name] : heartbeats) {
             silent += registry.expireUnconfirmed(Core::Instant(time));
             registry.mergeHeartbeat(announcement(name, BackendPhase::READY, 8), Core::Instant(time));
         }
--- a/Tests/LibCoordinator/TestWatchService.cpp
+++ b/Tests/LibCoordinator/TestWatchService.cpp
@@ -19,17 +19,17 @@
 constexpr std::int64_t Incarnation = 7;
 
 /** A watch service over a log that is empty, since its folder can't be opened. */
-class DeskFixture : public TestSupport::LoopFixture
+class WatchServiceFixture : public TestSupport::LoopFixture
 {
 public:
-    DeskFixture()
+    WatchServiceFixture()
         : log(Coordinator::DeclarationLog::create({.log = {}, .dataFolder = "/proc/no-folder", .send = nullptr}, this->timers).value())
-        , desk({.incarnation = Incarnation, .hold = Core::seconds(60)}, *this->log, this->registry, this->gateways, this->timers)
+        , service({.incarnation = Incarnation, .longPollTimeout = Core::seconds(60)}, *this->log, this->registry, this->gateways, this->timers)
     {
     }
 
     /** A watch request of a watcher that has received all changes so far. */
-    [[nodiscard]] Protocol::WatchRequest question(RegistryInterest::type interest) const
+    [[nodiscard]] Protocol::WatchRequest upToDateRequest(RegistryInterest::type interest) const
     {
         Protocol::WatchRequest request;
         request.watcherName = "watcher";
@@ -41,11 +41,11 @@
         return request;
     }
 
-    void ask(const Protocol::WatchRequest &request)
+    void sendRequest(const Protocol::WatchRequest &request)
     {
-        this->answer.reset();
-        this->desk.watch(request, [this](const Protocol::WatchReply &reply) {
-            this->answer = reply;
+        this->reply.reset();
+        this->service.watch(request, [this](const Protocol::WatchReply &reply) {
+            this->reply = reply;
         });
     }
 
@@ -58,11 +58,11 @@
         announcement.phase = phase;
         announcement.sequence = ++this->sequence;
         this->registry.merge(announcement, this->timers.now());
-        this->desk.scheduleNotification();
+        this->service.scheduleNotification();
     }
 
     /** Makes another gateway ready. */
-    void arrive(int number)
+    void addGateway(int number)
     {
         Protocol::BackendAnnouncement announcement;
         announcement.id = "gateway-" + std::to_string(number);
@@ -70,32 +70,32 @@
         announcement.phase = BackendPhase::READY;
         announcement.sequence = 1;
         this->gateways.merge(announcement, this->timers.now());
-        this->desk.scheduleNotification();
+        this->service.scheduleNotification();
     }
 
     [[nodiscard]] bool isAnswered()
     {
         return this->runUntil([this] {
-            return this->answer.has_value();
+            return this->reply.has_value();
         });
     }
 
     Fleet::BackendRegistry registry;
     Fleet::BackendRegistry gateways;
     std::unique_ptr<Coordinator::DeclarationLog> log;
-    Coordinator::WatchService desk;
-    std::optional<Protocol::WatchReply> answer;
+    Coordinator::WatchService service;
+    std::optional<Protocol::WatchReply> reply;
     std::int64_t sequence{0};
 };
 
 }
 
-Test(WatchService, tellsEachWatcherWhatItIsInterestedIn)
+Test(WatchService, answersOnlyForChangesOfTheRequestedInterest)
 {
     struct Case {
         RegistryInterest::type interest;
         BackendPhase::type phase;
-        bool told;
+        bool notified;
     };
     const std::vector<Case> cases{
         {RegistryInterest::EVERYTHING, BackendPhase::READY, true},
@@ -106,67 +106,67 @@
         {RegistryInterest::NOTHING, BackendPhase::DRAINING, false},
     };
     for (const auto &item : cases) {
-        DeskFixture fixture;
-        fixture.ask(fixture.question(item.interest));
+        WatchServiceFixture fixture;
+        fixture.sendRequest(fixture.upToDateRequest(item.interest));
         fixture.change("one", item.phase);
-        if (item.told) {
+        if (item.notified) {
             cr_assert(fixture.isAnswered());
-            cr_assert(fixture.answer->changed.size() == 1 && fixture.answer->cursor == fixture.registry.position());
+            cr_assert(fixture.reply->changed.size() == 1 && fixture.reply->cursor == fixture.registry.position());
         } else {
             fixture.settle();
-            cr_assert_not(fixture.answer.has_value());
-            cr_assert(fixture.desk.waitingCount() == 1);
+            cr_assert_not(fixture.reply.has_value());
+            cr_assert(fixture.service.waitingCount() == 1);
         }
     }
 }
 
-Test(WatchService, tellsALeaverToOneThatWasToldNothingElse)
+Test(WatchService, sendsDeparturesOfBackendsThatTheWatcherDidNotKnow)
 {
-    DeskFixture fixture;
-    const auto before = fixture.question(RegistryInterest::LEAVERS);
+    WatchServiceFixture fixture;
+    const auto before = fixture.upToDateRequest(RegistryInterest::LEAVERS);
     fixture.change("one", BackendPhase::READY);
     fixture.change("two", BackendPhase::READY);
     fixture.change("one", BackendPhase::DRAINING);
-    fixture.ask(before);
+    fixture.sendRequest(before);
     cr_assert(fixture.isAnswered());
-    cr_assert(fixture.answer->changed.size() == 1 && fixture.answer->changed.front().id == "one");
+    cr_assert(fixture.reply->changed.size() == 1 && fixture.reply->changed.front().id == "one");
 }
 
-Test(WatchService, takesNoCursorOfAnotherLife)
+Test(WatchService, ignoresCursorsOfAnotherIncarnation)
 {
-    DeskFixture fixture;
+    WatchServiceFixture fixture;
     fixture.change("one", BackendPhase::READY);
-    auto request = fixture.question(RegistryInterest::EVERYTHING);
+    auto request = fixture.upToDateRequest(RegistryInterest::EVERYTHING);
     request.coordinatorIncarnation = Incarnation - 1;
-    fixture.ask(request);
+    fixture.sendRequest(request);
     cr_assert(fixture.isAnswered());
-    cr_assert(fixture.answer->coordinatorIncarnation == Incarnation && fixture.answer->changed.size() == 1);
+    cr_assert(fixture.reply->coordinatorIncarnation == Incarnation && fixture.reply->changed.size() == 1);
     request.registryInterest = RegistryInterest::NOTHING;
-    fixture.ask(request);
+    fixture.sendRequest(request);
     cr_assert(fixture.isAnswered());
-    cr_assert(fixture.answer->cursor == 0 && fixture.answer->changed.empty(), "changes that were not sent can still be requested");
+    cr_assert(fixture.reply->cursor == 0 && fixture.reply->changed.empty(), "changes that were not sent can still be requested");
 }
 
 // When 300 gateways start at the same moment and become ready one by one, each of them is an update for all others, and a watcher sends its next watch request
 // as soon as it has a reply. With one update for each gateway, the watchers of one coordinator kept it busy for half a second.
-Test(WatchService, tellsOfThoseThatArriveTogetherInFewAnswers)
+Test(WatchService, combinesSimultaneousArrivalsInFewUpdates)
 {
     constexpr int Arrivals = 100;
-    DeskFixture fixture;
-    fixture.arrive(0);
+    WatchServiceFixture fixture;
+    fixture.addGateway(0);
     int answers = 0;
-    auto request = fixture.question(RegistryInterest::EVERYTHING);
-    std::function<void()> ask = [&] {
-        fixture.desk.watch(request, [&](const Protocol::WatchReply &reply) {
+    auto request = fixture.upToDateRequest(RegistryInterest::EVERYTHING);
+    std::function<void()> sendRequest = [&] {
+        fixture.service.watch(request, [&](const Protocol::WatchReply &reply) {
             ++answers;
             request.cursor = reply.cursor;
             request.gatewayCursor = reply.gatewayCursor;
-            ask();
+            sendRequest();
         });
     };
-    ask();
+    sendRequest();
     for (int number = 1; number <= Arrivals; ++number) {
-        fixture.arrive(number);
+        fixture.addGateway(number);
         fixture.settle(Core::milliseconds(2));
     }
     cr_assert(fixture.runUntil([&] {
@@ -175,25 +175,25 @@
     cr_assert_lt(answers, Arrivals / 5, "%d answers", answers);
 }
 
-Test(WatchService, tellsOfALeaverAtOnceWhileOthersArrive)
+Test(WatchService, notifiesOfADepartureAtOnceWhileOthersArrive)
 {
-    DeskFixture fixture;
-    fixture.arrive(1);
+    WatchServiceFixture fixture;
+    fixture.addGateway(1);
     fixture.change("one", BackendPhase::READY);
-    fixture.ask(fixture.question(RegistryInterest::EVERYTHING));
-    fixture.arrive(2);
+    fixture.sendRequest(fixture.upToDateRequest(RegistryInterest::EVERYTHING));
+    fixture.addGateway(2);
     fixture.change("one", BackendPhase::DRAINING);
     cr_assert(fixture.isAnswered());
-    cr_assert(fixture.answer->changed.size() == 1 && fixture.answer->changedGateways.size() == 1, "the same update contains the gateway that arrived before");
+    cr_assert(fixture.reply->changed.size() == 1 && fixture.reply->changedGateways.size() == 1, "the same update contains the gateway that arrived before");
 }
 
-Test(WatchService, neverConfirmsWithoutLeading)
+Test(WatchService, doesNotConfirmWithoutALeader)
 {
-    DeskFixture fixture;
-    auto request = fixture.question(RegistryInterest::NOTHING);
+    WatchServiceFixture fixture;
+    auto request = fixture.upToDateRequest(RegistryInterest::NOTHING);
     request.confirm = true;
-    fixture.ask(request);
-    cr_assert_not(fixture.answer.has_value(), "the request is held for a while, so that the watcher does not repeat it without a pause");
+    fixture.sendRequest(request);
+    cr_assert_not(fixture.reply.has_value(), "the request is held for a while, so that the watcher does not repeat it without a pause");
     cr_assert(fixture.isAnswered());
-    cr_assert_not(fixture.answer->confirmed);
+    cr_assert_not(fixture.reply->confirmed);
 }
--- a/Tests/LibFleet/TestBackendRegistry.cpp
+++ b/Tests/LibFleet/TestBackendRegistry.cpp
@@ -38,7 +38,7 @@
 
 Test(BackendRegistry, mergesInAnyOrderToTheSameState)
 {
-    std::vector<Protocol::BackendAnnouncement> news{announcement(BackendPhase::READY, 1),
+    std::vector<Protocol::BackendAnnouncement> announcements{announcement(BackendPhase::READY, 1),
         announcement(BackendPhase::READY, 5),
         announcement(BackendPhase::DRAINING, 3),
         announcement(BackendPhase::GONE, 2)};
@@ -46,15 +46,15 @@
     do {
         BackendRegistry registry;
         for (const auto index : order) {
-            registry.merge(news[index], at(1));
-            registry.merge(news[index], at(1));
+            registry.merge(announcements[index], at(1));
+            registry.merge(announcements[index], at(1));
         }
         cr_assert(registry.find("one")->announcement.phase == BackendPhase::GONE);
         cr_assert(registry.size() == 1);
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-Test(BackendRegistry, neverMakesALeaverReadyAgain)
+Test(BackendRegistry, keepsDrainingAndGoneBackendsFromBecomingReady)
 {
     struct Case {
         const char *name;
@@ -80,7 +80,7 @@
     }
 }
 
-Test(BackendRegistry, remembersAFarewellOfOneItNeverSaw)
+Test(BackendRegistry, recordsTheDeregistrationOfAnUnknownBackend)
 {
     BackendRegistry registry;
     cr_assert(registry.markGone("one", at(1)));
@@ -89,25 +89,25 @@
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::GONE);
 }
 
-Test(BackendRegistry, tellsOnlyWhatOthersHaveToKnow)
+Test(BackendRegistry, notifiesWatchersOfVisibleChangesOnly)
 {
     BackendRegistry registry;
-    int told = 0;
-    registry.changed = [&told](const auto &) {
-        ++told;
+    int notified = 0;
+    registry.changed = [&notified](const auto &) {
+        ++notified;
     };
     registry.merge(announcement(BackendPhase::READY, 1), at(1));
     const auto first = registry.position();
     registry.merge(announcement(BackendPhase::READY, 2), at(2));
-    cr_assert(told == 1, "a heartbeat that changes nothing else is not sent to watchers");
+    cr_assert(notified == 1, "a heartbeat that changes nothing else is not sent to watchers");
     cr_assert(registry.changedSince(first, at(2)).empty());
     registry.merge(announcement(BackendPhase::DRAINING, 3), at(3));
-    cr_assert(told == 2);
+    cr_assert(notified == 2);
     cr_assert(registry.changedSince(first, at(3)).size() == 1);
     cr_assert(registry.changedSince(0, at(3)).size() == 1, "two changes of one record are sent as one");
 }
 
-Test(BackendRegistry, takesSilenceForSilenceOnlyWhereNobodyHeard)
+Test(BackendRegistry, appliesTheHeartbeatTimeoutOnlyWithoutRemoteHeartbeats)
 {
     BackendRegistry registry;
     registry.merge(announcement(BackendPhase::READY, 1), at(0));
@@ -122,7 +122,7 @@
     cr_assert(registry.size() == 0);
 }
 
-Test(BackendRegistry, tellsOfLeaversAlone)
+Test(BackendRegistry, returnsDeparturesSeparately)
 {
     BackendRegistry registry;
     registry.merge(announcement(BackendPhase::READY, 1), at(1));
@@ -143,7 +143,7 @@
 namespace
 {
 
-Protocol::BackendAnnouncement inLife(std::int64_t born, BackendPhase::type phase, std::int64_t sequence)
+Protocol::BackendAnnouncement inIncarnation(std::int64_t born, BackendPhase::type phase, std::int64_t sequence)
 {
     auto made = announcement(phase, sequence);
     made.born = born;
@@ -154,16 +154,16 @@
 
 // Rule G6. A backend server that starts again under its id restarts its sequence, so the first heartbeat of the new incarnation has a lower sequence than the
 // last one of the earlier incarnation.
-Test(BackendRegistry, aLaterLifeReplacesTheEarlierOne)
+Test(BackendRegistry, aLaterIncarnationReplacesTheEarlierOne)
 {
     for (const auto held : {BackendPhase::SILENT, BackendPhase::READY, BackendPhase::DRAINING, BackendPhase::GONE}) {
         BackendRegistry registry;
-        registry.merge(inLife(1000, held, 50), at(1));
-        cr_assert(registry.merge(inLife(2000, BackendPhase::READY, 1), at(2)), "watchers have to be notified");
+        registry.merge(inIncarnation(1000, held, 50), at(1));
+        cr_assert(registry.merge(inIncarnation(2000, BackendPhase::READY, 1), at(2)), "watchers have to be notified");
         const auto &record = *registry.find("one");
         cr_assert(record.announcement.phase == BackendPhase::READY && record.announcement.sequence == 1 && record.announcement.born == 2000);
-        registry.merge(inLife(1000, BackendPhase::READY, 99), at(3));
-        registry.merge(inLife(1000, BackendPhase::GONE, INT64_MAX), at(3));
+        registry.merge(inIncarnation(1000, BackendPhase::READY, 99), at(3));
+        registry.merge(inIncarnation(1000, BackendPhase::GONE, INT64_MAX), at(3));
         cr_assert(record.announcement.phase == BackendPhase::READY && record.announcement.born == 2000,
             "late announcements of the earlier incarnation change nothing");
         registry.markGone("one", at(4));
@@ -171,18 +171,18 @@
     }
 }
 
-Test(BackendRegistry, mergesNewsOfSeveralLivesInAnyOrderToTheSameState)
+Test(BackendRegistry, mergesSeveralIncarnationsInAnyOrderToTheSameState)
 {
-    std::vector<Protocol::BackendAnnouncement> news{inLife(1000, BackendPhase::READY, 7),
-        inLife(1000, BackendPhase::GONE, INT64_MAX),
-        inLife(2000, BackendPhase::READY, 1),
-        inLife(2000, BackendPhase::DRAINING, 3),
-        inLife(3000, BackendPhase::READY, 2)};
+    std::vector<Protocol::BackendAnnouncement> announcements{inIncarnation(1000, BackendPhase::READY, 7),
+        inIncarnation(1000, BackendPhase::GONE, INT64_MAX),
+        inIncarnation(2000, BackendPhase::READY, 1),
+        inIncarnation(2000, BackendPhase::DRAINING, 3),
+        inIncarnation(3000, BackendPhase::READY, 2)};
     std::vector<std::size_t> order{0, 1, 2, 3, 4};
     do {
         BackendRegistry registry;
         for (const auto index : order) {
-            registry.merge(news[index], at(1));
+            registry.merge(announcements[index], at(1));
         }
         const auto &held = registry.find("one")->announcement;
         cr_assert(held.born == 3000 && held.phase == BackendPhase::READY && held.sequence == 2);
@@ -192,31 +192,31 @@
 
 // A deregistration may come without the incarnation that it ends, and may be the first thing received of its backend server. A late heartbeat must not make
 // the backend server ready again.
-Test(BackendRegistry, aLateHeartbeatDoesNotUndoAFarewellOfAnUnknownLife)
+Test(BackendRegistry, aLateHeartbeatDoesNotUndoADeregistrationWithoutIncarnation)
 {
     BackendRegistry registry;
     registry.markGone("one", at(1));
-    registry.mergeHeartbeat(inLife(1000, BackendPhase::READY, 7), at(4));
+    registry.mergeHeartbeat(inIncarnation(1000, BackendPhase::READY, 7), at(4));
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::GONE);
-    cr_assert(registry.mergeHeartbeat(inLife(2000, BackendPhase::READY, 9), at(12)), "a heartbeat after the window is of a newer incarnation");
+    cr_assert(registry.mergeHeartbeat(inIncarnation(2000, BackendPhase::READY, 9), at(12)), "a heartbeat after the window is of a newer incarnation");
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::READY);
 }
 
 // Rule G7.
-Test(BackendRegistry, nobodyMovesToAnotherServiceWithinALife)
+Test(BackendRegistry, aBackendKeepsItsServiceWithinAnIncarnation)
 {
     BackendRegistry registry;
-    registry.merge(inLife(1000, BackendPhase::READY, 1), at(1));
-    auto foreign = inLife(1000, BackendPhase::READY, 2);
+    registry.merge(inIncarnation(1000, BackendPhase::READY, 1), at(1));
+    auto foreign = inIncarnation(1000, BackendPhase::READY, 2);
     foreign.serviceName = "another";
     cr_assert_not(registry.merge(foreign, at(2)));
     cr_assert(registry.find("one")->announcement.serviceName == "service");
 }
 
-Test(BackendRegistry, tellsOthersOfOneThatTurnsColdAgain)
+Test(BackendRegistry, notifiesWatchersOfABackendThatTurnsColdAgain)
 {
     BackendRegistry registry;
-    auto heartbeat = inLife(1000, BackendPhase::READY, 1);
+    auto heartbeat = inIncarnation(1000, BackendPhase::READY, 1);
     heartbeat.warmupLeftMs = 3000;
     registry.merge(heartbeat, at(1));
     heartbeat.sequence = 2;
@@ -229,6 +229,6 @@
     heartbeat.warmupLeftMs = 2500;
     const auto before = registry.position();
     cr_assert(registry.merge(heartbeat, at(9)));
-    const auto told = registry.changedSince(before, at(10));
-    cr_assert(told.size() == 1 && told.front().warmupLeftMs == 1500);
+    const auto notified = registry.changedSince(before, at(10));
+    cr_assert(notified.size() == 1 && notified.front().warmupLeftMs == 1500);
 }
--- a/Tests/LibFleet/TestFleetWatcher.cpp
+++ b/Tests/LibFleet/TestFleetWatcher.cpp
@@ -122,14 +122,14 @@
 };
 
 /** Answers the first watch request at once and holds the others, as a coordinator without an update does. */
-ScriptedCoordinator::Script answeringOnce(const WatcherFixture &fixture, std::int64_t declared)
+ScriptedCoordinator::Script answerOnce(const WatcherFixture &fixture, std::int64_t declared)
 {
     return [&fixture, declared](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.coordinatorIncarnation == 0 ? std::optional(fixture.reply(declared)) : std::nullopt;
     };
 }
 
-bool asksForRegistry(const ScriptedCoordinator &coordinator)
+bool receivedRegistryRequest(const ScriptedCoordinator &coordinator)
 {
     return std::any_of(coordinator.requests.begin(), coordinator.requests.end(), [](const WatchRequest &request) {
         return request.registryInterest != Protocol::RegistryInterest::NOTHING || request.wantsDeclaration;
@@ -148,25 +148,25 @@
 
 }
 
-Test(FleetWatcher, takesRegistryAndDeclarationFromTheNearCoordinatorOnly)
+Test(FleetWatcher, requestsRegistryAndDeclarationFromTheSameZoneOnly)
 {
     WatcherFixture fixture;
-    const auto &near = fixture.add("near", answeringOnce(fixture, -1));
-    const auto &far = fixture.add("far-1", answeringOnce(fixture, -1));
-    const auto &farther = fixture.add("far-2", answeringOnce(fixture, -1));
+    const auto &sameZone = fixture.add("near", answerOnce(fixture, -1));
+    const auto &otherRegion = fixture.add("far-1", answerOnce(fixture, -1));
+    const auto &thirdRegion = fixture.add("far-2", answerOnce(fixture, -1));
     fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return asksForRegistry(near) && near.requests.back().confirm;
+        return receivedRegistryRequest(sameZone) && sameZone.requests.back().confirm;
     }));
     fixture.settle(Core::milliseconds(50));
-    cr_assert_not(asksForRegistry(far));
-    cr_assert_not(asksForRegistry(farther));
-    cr_assert(far.requests.size() <= 1 && farther.requests.size() <= 1,
+    cr_assert_not(receivedRegistryRequest(otherRegion));
+    cr_assert_not(receivedRegistryRequest(thirdRegion));
+    cr_assert(otherRegion.requests.size() <= 1 && thirdRegion.requests.size() <= 1,
         "a coordinator of the same zone confirms as well, so hundreds of watchers need not send requests to a leader in another region");
 }
 
-Test(FleetWatcher, isConfirmedByAFarOneWhileTheNearOneHearsNoLeader)
+Test(FleetWatcher, isConfirmedByAnotherRegionWhileTheSameZoneHasNoKnownLeader)
 {
     WatcherFixture fixture;
     fixture.add("near", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
@@ -188,27 +188,27 @@
     }));
 }
 
-Test(FleetWatcher, takesThemFromAFarOneWhenNoNearOneAnswers)
+Test(FleetWatcher, requestsRegistryAndDeclarationFromAnotherRegionWhenTheSameZoneDoesNotReply)
 {
     WatcherFixture fixture;
-    const auto &far = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
+    const auto &otherRegion = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
         return fixture.reply(-1);
     });
-    fixture.add("far-2", answeringOnce(fixture, -1));
+    fixture.add("far-2", answerOnce(fixture, -1));
     fixture.add("near", [](const WatchRequest &) -> std::optional<WatchReply> {
         return std::nullopt;
     });
     fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return asksForRegistry(far) || asksForRegistry(*fixture.coordinators[1]);
+        return receivedRegistryRequest(otherRegion) || receivedRegistryRequest(*fixture.coordinators[1]);
     }));
 }
 
-Test(FleetWatcher, isConfirmedOnlyOnceItHoldsWhatWasConfirmed)
+Test(FleetWatcher, isConfirmedOnlyOnceItHoldsTheConfirmedVersion)
 {
     WatcherFixture fixture(2);
-    auto &near = fixture.add("near", answeringOnce(fixture, -1));
+    auto &sameZone = fixture.add("near", answerOnce(fixture, -1));
     for (const auto *zone : {"far-1", "far-2"}) {
         fixture.add(zone, [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
             auto reply = fixture.reply(7);
@@ -219,11 +219,11 @@
     fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return asksForRegistry(near);
+        return receivedRegistryRequest(sameZone);
     }));
     fixture.settle(Core::milliseconds(50));
     cr_assert_not(fixture.watcher.isConfirmed(), "version 7 is confirmed, but its text has not been received");
-    near.script = [&fixture](const WatchRequest &request) -> std::optional<WatchReply> {
+    sameZone.script = [&fixture](const WatchRequest &request) -> std::optional<WatchReply> {
         if (!request.wantsDeclaration) {
             return std::nullopt;
         }
@@ -231,7 +231,7 @@
         reply.__set_declaration(Fleet::compressText("seven"));
         return reply;
     };
-    for (const auto &answer : std::exchange(near.held, {})) {
+    for (const auto &answer : std::exchange(sameZone.held, {})) {
         answer(fixture.reply(7));
     }
     cr_assert(fixture.runUntil([&] {
@@ -240,73 +240,73 @@
     cr_assert(fixture.version == 7 && fixture.text == "seven");
 }
 
-Test(FleetWatcher, wantsOnlyLeaversOfTheSecondCoordinatorUntilTheFirstFails)
+Test(FleetWatcher, requestsOnlyDeparturesFromTheSecondCoordinatorUntilTheFirstFails)
 {
     using Protocol::RegistryInterest;
     WatcherFixture fixture(2);
-    auto &near = fixture.add("near", answeringOnce(fixture, -1));
-    auto &far = fixture.add("far-1", answeringOnce(fixture, -1));
-    fixture.add("far-2", answeringOnce(fixture, -1));
+    auto &sameZone = fixture.add("near", answerOnce(fixture, -1));
+    auto &otherRegion = fixture.add("far-1", answerOnce(fixture, -1));
+    fixture.add("far-2", answerOnce(fixture, -1));
     fixture.start();
     const auto lastInterest = [](const ScriptedCoordinator &coordinator) {
         return coordinator.requests.empty() ? RegistryInterest::NOTHING : coordinator.requests.back().registryInterest;
     };
-    const auto &farther = *fixture.coordinators[2];
+    const auto &thirdRegion = *fixture.coordinators[2];
     const auto second = [&]() -> const ScriptedCoordinator & {
-        return lastInterest(far) == RegistryInterest::LEAVERS ? far : farther;
+        return lastInterest(otherRegion) == RegistryInterest::LEAVERS ? otherRegion : thirdRegion;
     };
     cr_assert(fixture.runUntil([&] {
-        return lastInterest(near) == RegistryInterest::EVERYTHING && lastInterest(second()) == RegistryInterest::LEAVERS;
+        return lastInterest(sameZone) == RegistryInterest::EVERYTHING && lastInterest(second()) == RegistryInterest::LEAVERS;
     }));
-    near.server.reset();
+    sameZone.server.reset();
     cr_assert(fixture.runUntil([&] {
-        return lastInterest(far) == RegistryInterest::EVERYTHING || lastInterest(farther) == RegistryInterest::EVERYTHING;
+        return lastInterest(otherRegion) == RegistryInterest::EVERYTHING || lastInterest(thirdRegion) == RegistryInterest::EVERYTHING;
     }),
         "although it holds the request for departures");
-    auto &heir = *fixture.coordinators[lastInterest(far) == RegistryInterest::EVERYTHING ? 1 : 2];
-    cr_assert(heir.requests.back().cursor == 0, "the whole registry is requested");
+    auto &successor = *fixture.coordinators[lastInterest(otherRegion) == RegistryInterest::EVERYTHING ? 1 : 2];
+    cr_assert(successor.requests.back().cursor == 0, "the whole registry is requested");
     // This coordinator holds two watch requests, the first of which the watcher has abandoned. The reply to the first one must be discarded. If it is handled
     // as the reply to the second one, the second request is sent once more and later abandoned with its channel, and its failure ends the process.
-    cr_assert(heir.held.size() == 2);
-    const auto asked = heir.requests.size();
-    heir.held.front()(fixture.reply(-1));
+    cr_assert(successor.held.size() == 2);
+    const auto requestsBefore = successor.requests.size();
+    successor.held.front()(fixture.reply(-1));
     fixture.settle(Core::milliseconds(100));
-    cr_assert(heir.requests.size() == asked);
+    cr_assert(successor.requests.size() == requestsBefore);
 }
 
 // Guards against a watcher that stops sending watch requests for good: a request was sent twice, and the channel of one of them was closed when the order of
 // the coordinators changed.
-Test(FleetWatcher, goesOnAskingWhenTheOrderOfCoordinatorsChanges)
+Test(FleetWatcher, continuesToSendRequestsWhenTheOrderOfCoordinatorsChanges)
 {
     WatcherFixture fixture;
-    bool nearHasLeader = true;
-    auto &near = fixture.add("near", [&](const WatchRequest &) -> std::optional<WatchReply> {
+    bool sameZoneHasLeader = true;
+    auto &sameZone = fixture.add("near", [&](const WatchRequest &) -> std::optional<WatchReply> {
         auto reply = fixture.reply(-1);
-        reply.hasLeader = nearHasLeader;
+        reply.hasLeader = sameZoneHasLeader;
         return reply;
     });
-    const auto &far = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
+    const auto &otherRegion = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
         return fixture.reply(-1);
     });
     fixture.start();
     for (int round = 0; round < 5; ++round) {
-        nearHasLeader = false;
-        const auto askedFar = far.requests.size();
+        sameZoneHasLeader = false;
+        const auto otherRegionBefore = otherRegion.requests.size();
         cr_assert(fixture.runUntil([&] {
-            return far.requests.size() > askedFar + 2;
+            return otherRegion.requests.size() > otherRegionBefore + 2;
         }),
             "round %d: the coordinator of the other region has a leader",
             round);
         // The watcher requests updates from the coordinator of its zone again only once the one of the other region has lost its leader, too.
-        nearHasLeader = true;
+        sameZoneHasLeader = true;
         fixture.coordinators[1]->script = [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
             auto reply = fixture.reply(-1);
             reply.hasLeader = false;
             return reply;
         };
-        const auto askedNear = near.requests.size();
+        const auto sameZoneBefore = sameZone.requests.size();
         cr_assert(fixture.runUntil([&] {
-            return near.requests.size() > askedNear + 2;
+            return sameZone.requests.size() > sameZoneBefore + 2;
         }),
             "round %d: the coordinator of the same zone has a leader again",
             round);
@@ -318,7 +318,7 @@
 
 // Guards against applying a delta to a text other than its base, which happens when two coordinators send deltas from the same base and the second delta is
 // applied to the result of the first.
-Test(FleetWatcher, appliesNoDeltaToAnotherTextThanItWasMadeFor)
+Test(FleetWatcher, appliesADeltaToItsBaseTextOnly)
 {
     WatcherFixture fixture(2);
     const std::vector<std::string> texts{"", longText("one"), longText("the second"), longText("three")};
@@ -334,32 +334,32 @@
         }
         return reply;
     };
-    auto &near = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    auto &sameZone = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
         if (!request.wantsDeclaration) {
             // The watcher requests the text once it knows that this coordinator is in its zone.
             return fixture.reply(1);
         }
         return request.declarationVersion < 1 ? std::optional(answer(request, 1)) : std::nullopt;
     });
-    auto &far = fixture.add("far-1", answeringOnce(fixture, 1));
+    auto &otherRegion = fixture.add("far-1", answerOnce(fixture, 1));
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return fixture.version == 1 && near.held.size() == 1 && far.held.size() == 1;
+        return fixture.version == 1 && sameZone.held.size() == 1 && otherRegion.held.size() == 1;
     }));
-    cr_assert(near.requests.back().declarationVersion == 1);
-    const auto fromOne = answer(near.requests.back(), 3);
-    near.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    cr_assert(sameZone.requests.back().declarationVersion == 1);
+    const auto deltaFromOne = answer(sameZone.requests.back(), 3);
+    sameZone.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.declarationVersion < 3 ? std::optional(answer(request, 3)) : std::nullopt;
     };
     // The coordinator of the other region names version 2 and is asked for its text after the fallback delay, in which the first one does not send it.
-    far.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    otherRegion.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.wantsDeclaration && request.declarationVersion < 2 ? std::optional(answer(request, 2)) : std::nullopt;
     };
-    far.held.front()(fixture.reply(2));
+    otherRegion.held.front()(fixture.reply(2));
     cr_assert(fixture.runUntil([&] {
         return fixture.version == 2;
     }));
-    near.held.front()(fromOne);
+    sameZone.held.front()(deltaFromOne);
     cr_assert(fixture.runUntil([&] {
         return fixture.version == 3;
     }));
@@ -369,7 +369,7 @@
 
 // After a stop of all processes the leader in another region may name the declaration's version before the coordinator of the same zone has sent its text.
 // All requests of callers are refused until the confirmation is received, so the watcher must request it without the fallback delay.
-Test(FleetWatcher, confirmationDoesNotWaitForTheTextOfTheDeclaration)
+Test(FleetWatcher, requestsTheConfirmationWithoutWaitingForTheDeclarationText)
 {
     WatcherFixture fixture(1, Core::seconds(60));
     fixture.add("near", [](const WatchRequest &) {
@@ -394,10 +394,10 @@
 
 // A gateway that serves again after a start or a network partition has to know the zones that were evacuated meanwhile. The confirmation and the evacuations
 // are sent in one reply.
-Test(FleetWatcher, holdsTheEvacuationsOnceItIsConfirmed)
+Test(FleetWatcher, holdsTheNewestEvacuationsOnceItIsConfirmed)
 {
     WatcherFixture fixture;
-    const auto &near = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    const auto &sameZone = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
         if (request.evacuationRevision >= 3) {
             return std::nullopt;
         }
@@ -420,7 +420,7 @@
         return fixture.watcher.isConfirmed();
     }));
     cr_assert(fixture.runUntil([&] {
-        return near.requests.back().evacuationRevision == 3;
+        return sameZone.requests.back().evacuationRevision == 3;
     }));
     cr_assert_eq(arrivals, 1);
     cr_assert(fixture.watcher.evacuations().zones.size() == 1);
--- a/Tests/LibFleet/TestRouteTable.cpp
+++ b/Tests/LibFleet/TestRouteTable.cpp
@@ -9,7 +9,7 @@
 
 #include <criterion/criterion.h>
 
-Test(RouteTable, findsTheLongestPrefix)
+Test(RouteTable, selectsTheRouteWithTheLongestPrefix)
 {
     auto declaration = std::make_shared<Fleet::Declaration>();
     const auto add = [&declaration](const char *name, const char *host, const char *prefix) {
--- a/Tests/LibFleet/TestTextDelta.cpp
+++ b/Tests/LibFleet/TestTextDelta.cpp
@@ -20,7 +20,7 @@
     return text;
 }
 
-Test(TextDelta, leadsFromAnyTextToAnyOther)
+Test(TextDelta, turnsAnyTextIntoAnyOther)
 {
     std::mt19937 random(7);
     for (int round = 0; round < 400; ++round) {
@@ -36,7 +36,7 @@
     }
 }
 
-Test(TextDelta, isSmallForASmallChange)
+Test(TextDelta, isShortForASmallChange)
 {
     std::mt19937 random(3);
     const auto before = randomText(random, 300'000);
@@ -46,7 +46,7 @@
     cr_assert(Fleet::makeTextDelta(before, after).size() < 400);
 }
 
-Test(TextDelta, noticesThatItDoesNotFit)
+Test(TextDelta, isRejectedForAnotherBaseTextOrWhenTruncated)
 {
     std::mt19937 random(5);
     const auto before = randomText(random, 500);
@@ -61,7 +61,7 @@
     }
 }
 
-Test(CompressedText, comesBackWholeOrNotAtAll)
+Test(CompressedText, expandsToTheOriginalOrFails)
 {
     std::mt19937 random(9);
     const auto text = randomText(random, 5000);
--- a/Tests/LibFleet/TestWatcherQuestions.cpp
+++ b/Tests/LibFleet/TestWatchRequests.cpp
@@ -22,7 +22,7 @@
 using Protocol::WatchReply;
 using Protocol::WatchRequest;
 
-constexpr Core::Duration GiveUpAfter = Core::seconds(1);
+constexpr Core::Duration RemovalTimeout = Core::seconds(1);
 
 /** A coordinator that answers the first watch request and holds the others. */
 class HoldingCoordinator : public Protocol::CoordinatorCobSvIf
@@ -43,7 +43,7 @@
     void watch(std::function<void(WatchReply const &)> callback, const WatchRequest &request) override
     {
         this->requests.push_back(request);
-        if (this->breaksConnections) {
+        if (this->closesConnections) {
             throw std::runtime_error("the connection is closed");
         }
         if (request.coordinatorIncarnation == 0 && !this->holdsAll) {
@@ -76,7 +76,7 @@
 
     Core::Endpoint endpoint;
     const std::vector<Protocol::CoordinatorPlace> &places;
-    bool breaksConnections{false};
+    bool closesConnections{false};
     bool holdsAll{false};
     std::vector<WatchRequest> requests;
     std::vector<std::function<void(WatchReply const &)>> held;
@@ -91,7 +91,7 @@
     return place;
 }
 
-bool watches(const Fleet::FleetWatcher &watcher, const HoldingCoordinator &coordinator)
+bool knows(const Fleet::FleetWatcher &watcher, const HoldingCoordinator &coordinator)
 {
     const auto endpoints = watcher.coordinators();
     return std::find(endpoints.begin(), endpoints.end(), coordinator.endpoint) != endpoints.end();
@@ -99,14 +99,14 @@
 
 }
 
-Test(WatcherQuestions, anAnswerToADroppedQuestionIsNotTakenOnceItsCoordinatorIsWatchedAgain)
+Test(WatchRequests, theReplyToAnAbandonedRequestIsDiscardedAfterItsCoordinatorIsAddedAgain)
 {
     TestSupport::LoopFixture fixture;
     std::vector<Protocol::CoordinatorPlace> places;
-    HoldingCoordinator near(fixture, places);
-    HoldingCoordinator beside(fixture, places);
-    HoldingCoordinator far(fixture, places);
-    places = {placeOf(beside, "beside"), placeOf(far, "far"), placeOf(near, "near")};
+    HoldingCoordinator sameZone(fixture, places);
+    HoldingCoordinator sameRegion(fixture, places);
+    HoldingCoordinator otherRegion(fixture, places);
+    places = {placeOf(sameRegion, "beside"), placeOf(otherRegion, "far"), placeOf(sameZone, "near")};
     Fleet::BackendRegistry backends;
     Fleet::BackendRegistry gateways;
     Fleet::FleetWatcher watcher(Fleet::WatcherOptions{.name = "gateway",
@@ -115,51 +115,52 @@
                                     .own = {},
                                     .maximumWatched = 3,
                                     .responseTimeout = Core::seconds(60),
-                                    .removalTimeout = GiveUpAfter},
+                                    .removalTimeout = RemovalTimeout},
         backends,
         gateways,
         fixture.timers);
-    watcher.addCoordinators({near.endpoint, beside.endpoint, far.endpoint});
+    watcher.addCoordinators({sameZone.endpoint, sameRegion.endpoint, otherRegion.endpoint});
     cr_assert(fixture.runUntil([&] {
-        return near.holds(1, RegistryInterest::EVERYTHING) && beside.holds(1, RegistryInterest::LEAVERS) && far.holds(1, RegistryInterest::LEAVERS);
+        return sameZone.holds(1, RegistryInterest::EVERYTHING) && sameRegion.holds(1, RegistryInterest::LEAVERS)
+            && otherRegion.holds(1, RegistryInterest::LEAVERS);
     }));
 
     // The coordinator of the same zone answers once more and ends. So the one of the same region is asked for the whole registry, its earlier request is
     // abandoned, and the connection of the new request breaks.
-    fixture.settle(GiveUpAfter + Core::milliseconds(100));
-    near.held.front()(near.reply());
-    cr_assert(fixture.runUntil([&near] {
-        return near.held.size() == 2;
+    fixture.settle(RemovalTimeout + Core::milliseconds(100));
+    sameZone.held.front()(sameZone.reply());
+    cr_assert(fixture.runUntil([&sameZone] {
+        return sameZone.held.size() == 2;
     }));
     places.pop_back();
-    beside.breaksConnections = true;
-    near.server.reset();
+    sameRegion.closesConnections = true;
+    sameZone.server.reset();
     // The coordinator of the same region is removed, since it has not replied for long, and added again, since a reply of the other region names it.
     cr_assert(fixture.runUntil([&] {
-        return !watches(watcher, beside) && far.holds(2, RegistryInterest::EVERYTHING);
+        return !knows(watcher, sameRegion) && otherRegion.holds(2, RegistryInterest::EVERYTHING);
     }));
-    beside.breaksConnections = false;
-    far.held.back()(far.reply());
-    cr_assert(fixture.runUntil([&beside] {
-        return beside.holds(2, RegistryInterest::EVERYTHING);
+    sameRegion.closesConnections = false;
+    otherRegion.held.back()(otherRegion.reply());
+    cr_assert(fixture.runUntil([&sameRegion] {
+        return sameRegion.holds(2, RegistryInterest::EVERYTHING);
     }));
-    const auto asked = beside.requests.size();
+    const auto requestsBefore = sameRegion.requests.size();
 
-    beside.held.front()(beside.reply());
+    sameRegion.held.front()(sameRegion.reply());
     fixture.settle();
-    cr_assert_eq(beside.requests.size(), asked, "the reply to the abandoned request was handled as the reply to the request in flight");
+    cr_assert_eq(sameRegion.requests.size(), requestsBefore, "the reply to the abandoned request was handled as the reply to the request in flight");
 }
 
-Test(WatcherQuestions, aFailureOfADroppedQuestionIsNotTakenForOneOfACoordinatorThatIsNotAsked)
+Test(WatchRequests, theFailureOfAnAbandonedRequestIsDiscardedWhileItsCoordinatorIsNotWatched)
 {
     TestSupport::LoopFixture fixture;
     std::vector<Protocol::CoordinatorPlace> places;
-    HoldingCoordinator first(fixture, places);
-    HoldingCoordinator beside(fixture, places);
-    HoldingCoordinator far(fixture, places);
-    HoldingCoordinator second(fixture, places);
-    HoldingCoordinator third(fixture, places);
-    places = {placeOf(beside, "beside"), placeOf(far, "far"), placeOf(first, "near")};
+    HoldingCoordinator sameZoneFirst(fixture, places);
+    HoldingCoordinator sameRegion(fixture, places);
+    HoldingCoordinator otherRegion(fixture, places);
+    HoldingCoordinator sameZoneSecond(fixture, places);
+    HoldingCoordinator sameZoneThird(fixture, places);
+    places = {placeOf(sameRegion, "beside"), placeOf(otherRegion, "far"), placeOf(sameZoneFirst, "near")};
     Fleet::BackendRegistry backends;
     Fleet::BackendRegistry gateways;
     Fleet::FleetWatcher watcher(Fleet::WatcherOptions{.name = "gateway",
@@ -167,48 +168,48 @@
                                     .regions = {{"near", "one"}, {"beside", "one"}, {"far", "two"}},
                                     .own = {},
                                     .responseTimeout = Core::seconds(60),
-                                    .removalTimeout = GiveUpAfter},
+                                    .removalTimeout = RemovalTimeout},
         backends,
         gateways,
         fixture.timers);
-    watcher.addCoordinators({first.endpoint, beside.endpoint, far.endpoint});
+    watcher.addCoordinators({sameZoneFirst.endpoint, sameRegion.endpoint, otherRegion.endpoint});
     cr_assert(fixture.runUntil([&] {
-        return first.holds(1, RegistryInterest::EVERYTHING) && beside.holds(1, RegistryInterest::LEAVERS);
+        return sameZoneFirst.holds(1, RegistryInterest::EVERYTHING) && sameRegion.holds(1, RegistryInterest::LEAVERS);
     }));
 
     // The coordinator of the same zone ends, so the request that the one of the same region holds is abandoned. New connections to that one break, so it is
     // removed.
-    fixture.settle(GiveUpAfter + Core::milliseconds(100));
-    first.held.front()(first.reply());
-    cr_assert(fixture.runUntil([&first] {
-        return first.held.size() == 2;
+    fixture.settle(RemovalTimeout + Core::milliseconds(100));
+    sameZoneFirst.held.front()(sameZoneFirst.reply());
+    cr_assert(fixture.runUntil([&sameZoneFirst] {
+        return sameZoneFirst.held.size() == 2;
     }));
     places.pop_back();
-    beside.breaksConnections = true;
-    first.server.reset();
+    sameRegion.closesConnections = true;
+    sameZoneFirst.server.reset();
     cr_assert(fixture.runUntil([&] {
-        return !watches(watcher, beside) && !far.held.empty();
+        return !knows(watcher, sameRegion) && !otherRegion.held.empty();
     }));
-    beside.breaksConnections = false;
+    sameRegion.closesConnections = false;
 
     // The coordinator of the same region is added again and sent one watch request. Then two coordinators of the same zone are added, so the watcher sends no
     // more requests to it.
-    beside.holdsAll = true;
-    far.held.back()(far.reply());
+    sameRegion.holdsAll = true;
+    otherRegion.held.back()(otherRegion.reply());
     cr_assert(fixture.runUntil([&] {
-        return beside.held.size() == 2 && far.requests.back().registryInterest == RegistryInterest::LEAVERS;
+        return sameRegion.held.size() == 2 && otherRegion.requests.back().registryInterest == RegistryInterest::LEAVERS;
     }));
-    places.push_back(placeOf(second, "near"));
-    places.push_back(placeOf(third, "near"));
-    far.held.back()(far.reply());
+    places.push_back(placeOf(sameZoneSecond, "near"));
+    places.push_back(placeOf(sameZoneThird, "near"));
+    otherRegion.held.back()(otherRegion.reply());
     cr_assert(fixture.runUntil([&] {
-        return !second.held.empty() && !third.held.empty();
+        return !sameZoneSecond.held.empty() && !sameZoneThird.held.empty();
     }));
-    beside.held.back()(beside.reply());
+    sameRegion.held.back()(sameRegion.reply());
     fixture.settle();
 
     // The abandoned request fails now.
-    beside.server.reset();
+    sameRegion.server.reset();
     fixture.settle();
     cr_assert_geq(watcher.reachableCount(), 2);
 }
