--- a/Libraries/LibCoordinator/CoordinatorNode.cpp
+++ b/Libraries/LibCoordinator/CoordinatorNode.cpp
@@ -128,7 +128,7 @@
 void CoordinatorNode::declare(const std::string &content, const std::function<void(const OrderOutcome &outcome)> &done)
 {
     OrderOutcome outcome;
-    const auto version = this->options.examine(content);
+    const auto version = this->options.validateDeclaration(content);
     if (!version.has_value()) {
         outcome.status = OrderStatus::Invalid;
         outcome.problem = version.error().message;
--- a/Libraries/LibCoordinator/CoordinatorNode.h
+++ b/Libraries/LibCoordinator/CoordinatorNode.h
@@ -37,7 +37,7 @@
     /** Heartbeat timeout of gateways. A gateway announces itself with each watch request, so at least once in each long-poll timeout. */
     Core::Duration gatewayHeartbeatTimeout{Core::seconds(12)};
     /** Validates the text of a declaration. Returns its version, or an error that says what is wrong. */
-    std::function<Core::Result<Fleet::DeclarationVersion>(const std::string &content)> examine;
+    std::function<Core::Result<Fleet::DeclarationVersion>(const std::string &content)> validateDeclaration;
     /** The availability zones of the deployment, with their regions. Operators may evacuate these zones and no others. */
     Fleet::RegionOfZone regions;
 };
--- a/Libraries/LibFleet/HeartbeatTimes.h
+++ b/Libraries/LibFleet/HeartbeatTimes.h
@@ -30,14 +30,14 @@
     /** A backend server from which no heartbeat was received for this long becomes silent, or gone if it was draining. */
     Core::Duration heartbeatTimeout{0};
     /** This long after its first update a gateway knows every backend server that sends heartbeats. */
-    Core::Duration allHeard{0};
+    Core::Duration registryCompleteAfter{0};
 
     [[nodiscard]] static HeartbeatTimes of(Core::Duration period)
     {
         return {.unconfirmedTimeout = period + MaximumHeartbeatDelay,
             .heartbeatTimeout = std::max(MinimumHeartbeatTimeout, MissedHeartbeats * period),
             // Two heartbeat periods, and the time that an update takes from a coordinator to a gateway.
-            .allHeard = 2 * period + Core::milliseconds(200)};
+            .registryCompleteAfter = 2 * period + Core::milliseconds(200)};
     }
 };
 
