--- a/Libraries/LibCoordinator/CoordinatorNode.cpp
+++ b/Libraries/LibCoordinator/CoordinatorNode.cpp
@@ -296,7 +296,7 @@
     if (replicated != nullptr) {
         introduction.member = replicated->identity();
         introduction.initialised = replicated->isInitialised();
-        introduction.mayFound = this->options.mayFound;
+        introduction.mayFound = this->options.mayBootstrap;
     }
     return introduction;
 }
@@ -387,7 +387,7 @@
 void CoordinatorNode::bootstrapIfComplete()
 {
     auto *replicated = this->log->log();
-    if (replicated == nullptr || !this->options.mayFound || replicated->isInitialised() || this->options.seeds.empty()) {
+    if (replicated == nullptr || !this->options.mayBootstrap || replicated->isInitialised() || this->options.seeds.empty()) {
         return;
     }
     const auto lowest = *std::min_element(this->options.seeds.begin(), this->options.seeds.end());
--- a/Libraries/LibCoordinator/CoordinatorNode.h
+++ b/Libraries/LibCoordinator/CoordinatorNode.h
@@ -29,7 +29,7 @@
     /** Endpoints of the coordinators that the settings name, which may include this one. */
     std::vector<Core::Endpoint> seeds;
     /** Set when the whole system starts for the first time, with empty data folders, so that a log may be bootstrapped. */
-    bool mayFound{false};
+    bool mayBootstrap{false};
     /** A watch request for which there is no update is answered after this long, so that the watcher knows that the coordinator still runs. */
     Core::Duration longPollTimeout{Core::milliseconds(1800)};
     /** Timeouts for the heartbeats of backend servers. */
