--- a/Libraries/LibCoordinator/DeclarationLog.h
+++ b/Libraries/LibCoordinator/DeclarationLog.h
@@ -8,8 +8,8 @@
 // the one with the highest version is active; of two with the same version, the
 // one that comes first in the log. Of all orders on a zone the last one in the log
 // is active. An order is proposed only by the leader that receives it from the
-// operator and is queued nowhere else, so an order whose sender has cancelled it
-// can't be committed after a later order that was acknowledged.
+// operator and is queued nowhere else, so an order for which its sender no longer
+// waits can't be committed after a later order that was acknowledged.
 
 #pragma once
 
--- a/Libraries/LibFleet/BackendRegistry.h
+++ b/Libraries/LibFleet/BackendRegistry.h
@@ -48,8 +48,8 @@
     /** A record that is gone or silent is kept for this long, so that late announcements of an ended incarnation are recognized and discarded. */
     Core::Duration retention{Core::seconds(600)};
     /**
-     * An unconfirmed record, which a coordinator restored from disk, counts as ready for this long without a heartbeat (HeartbeatTimes). It is no longer
-     * than a heartbeat may take, since a backend server that left while the coordinator was down is sent requests meanwhile.
+     * An unconfirmed record, which a coordinator restored from disk, counts as ready for this long without a heartbeat (HeartbeatTimes). The timeout must
+     * not exceed the time that a heartbeat may take, since a backend server that left while the coordinator was down is sent requests until then.
      */
     Core::Duration unconfirmedTimeout{Core::milliseconds(3500)};
     /**
@@ -91,7 +91,7 @@
     /** Records that another coordinator received a heartbeat with this id. An unknown id is ignored. */
     void recordRemoteHeartbeat(const std::string &id, Core::Instant now);
 
-    /** Ids of the records into which an announcement was merged after `time`, whether or not it changed them, except those that are gone. */
+    /** Ids of the records into which an announcement was merged after `time`, whether or not watchers had to be notified, except those that are gone. */
     [[nodiscard]] std::vector<std::string> mergedSince(Core::Instant time) const;
 
     /** Announcements of the ready backend servers, in no order. The pointers are valid until the next change. */
--- a/Libraries/LibFleet/FleetWatcher.h
+++ b/Libraries/LibFleet/FleetWatcher.h
@@ -33,7 +33,7 @@
     std::size_t maximumWatched{2};
     /** Whether updates contain operators' orders: the declaration and the evacuated zones. */
     bool wantsOrders{true};
-    /** Whether updates contain the ids whose heartbeats reached the coordinator. */
+    /** Whether updates contain the ids of the backend servers and gateways whose heartbeats the coordinator received. */
     bool wantsHeard{false};
     /**
      * A watch request without a reply for this long fails and is sent again over a new connection. It is longer than a coordinator holds a watch request
@@ -82,7 +82,7 @@
     /** Whether any coordinator has replied yet. */
     [[nodiscard]] bool hasReceivedUpdate() const;
 
-    /** Returns the declaration version that the owner holds. Called before each watch request and each look at the held version. */
+    /** Returns the version of the declaration that the owner of the watcher holds; -1 when it holds none. */
     std::function<DeclarationVersion()> knownVersion;
     /** Returns the own announcement that is sent with each watch request, when the watcher is a gateway that accepts requests. */
     std::function<std::optional<Protocol::BackendAnnouncement>()> ownAnnouncement;
--- a/Tests/LibFleet/TestBackendRegistry.cpp
+++ b/Tests/LibFleet/TestBackendRegistry.cpp
@@ -202,7 +202,7 @@
     cr_assert(registry.find("one")->announcement.phase == BackendPhase::READY);
 }
 
-// Rule G7.
+// Rule G7. An announcement that names another service within the same incarnation was made by another process and is rejected.
 Test(BackendRegistry, aBackendKeepsItsServiceWithinAnIncarnation)
 {
     BackendRegistry registry;
--- a/Tests/LibFleet/TestFleetWatcher.cpp
+++ b/Tests/LibFleet/TestFleetWatcher.cpp
@@ -274,8 +274,8 @@
     cr_assert(successor.requests.size() == requestsBefore);
 }
 
-// Guards against a watcher that stops sending watch requests for good: a request was sent twice, and the channel of one of them was closed when the order of
-// the coordinators changed.
+// Guards against a watcher that stops sending watch requests for good. This happens when a watch request is sent twice and the channel of one of the two is
+// closed after the order of the coordinators has changed.
 Test(FleetWatcher, continuesToSendRequestsWhenTheOrderOfCoordinatorsChanges)
 {
     WatcherFixture fixture;
