--- a/Libraries/LibCoordinator/RegistryStore.cpp
+++ b/Libraries/LibCoordinator/RegistryStore.cpp
@@ -13,7 +13,7 @@
 {
 
 static constexpr const char *FileName = "backends";
-// The file is written anew once it is this many times as long as it needs to be, and not before it is worth the work.
+// The file is rewritten once it is this many times as long as the ready backend servers need, and not below a length at which rewriting saves too little.
 static constexpr std::size_t RewriteFactor = 4;
 static constexpr std::size_t RewriteFromBytes = 64 * 1024;
 
@@ -32,7 +32,7 @@
         return {};
     }
     std::string_view rest = content.value();
-    while (!rest.empty() && Storage::examineBatch(rest) == Storage::BatchState::Intact) {
+    while (!rest.empty() && Storage::examineBatch(rest) == Storage::BatchState::Whole) {
         const auto batch = Storage::batchContent(rest);
         const auto announcement = Rpc::deserialize<Protocol::BackendAnnouncement>(batch);
         if (!announcement.has_value()) {
@@ -64,7 +64,7 @@
     }
 }
 
-void RegistryStore::note(const Protocol::BackendAnnouncement &announcement)
+void RegistryStore::addChange(const Protocol::BackendAnnouncement &announcement)
 {
     this->apply(announcement);
     this->unwritten += frame(announcement);
--- a/Libraries/LibFleet/FleetWatcher.cpp
+++ b/Libraries/LibFleet/FleetWatcher.cpp
@@ -15,7 +15,7 @@
 namespace Fleet
 {
 
-// The longest declaration that is taken.
+// The longest declaration text that is accepted.
 static constexpr std::size_t MaximumTextBytes = 16 * 1024 * 1024;
 
 FleetWatcher::FleetWatcher(WatcherOptions options, BackendRegistry &backends, BackendRegistry &gateways, Core::TimerService &timers)
@@ -30,7 +30,7 @@
         position->second.endpoint = endpoint;
         position->second.order = std::hash<std::string>{}(this->options.name + endpoint.toString());
         position->second.addedAt = this->timers.now();
-        position->second.lastAnswer = this->timers.now();
+        position->second.lastReply = this->timers.now();
     }
     return position->second;
 }
@@ -42,7 +42,7 @@
             this->add(endpoint);
         }
     }
-    this->askChosen();
+    this->watchSelected();
 }
 
 void FleetWatcher::requestConfirmation()
@@ -53,12 +53,12 @@
 
 bool FleetWatcher::isConfirmed() const
 {
-    return this->confirmedVersion.has_value() && this->held() >= this->confirmedVersion.value();
+    return this->confirmedVersion.has_value() && this->heldVersion() >= this->confirmedVersion.value();
 }
 
 bool FleetWatcher::hasReceivedUpdate() const
 {
-    return this->anyAnswer;
+    return this->receivedReply;
 }
 
 std::size_t FleetWatcher::reachableCount() const
@@ -70,7 +70,7 @@
 
 std::optional<Core::Instant> FleetWatcher::lastLeaderSync() const
 {
-    return this->leaderKnown;
+    return this->latestLeaderSync;
 }
 
 std::vector<Core::Endpoint> FleetWatcher::coordinators() const
@@ -82,7 +82,7 @@
     return endpoints;
 }
 
-std::int64_t FleetWatcher::held() const
+std::int64_t FleetWatcher::heldVersion() const
 {
     return this->knownVersion ? this->knownVersion().value() : -1;
 }
@@ -98,14 +98,15 @@
     return inSameRegion(this->options.regions, this->options.zone, watched.zone) ? 1 : 2;
 }
 
-// The near ones that work go first; among equals each watcher has an order of its own, so that watchers spread.
+// All coordinators, in the order in which they are preferred: working ones before failing ones, then those with a known leader, then those at a shorter
+// distance. Watchers order equal coordinators differently, so that they spread over them.
 std::vector<FleetWatcher::Watched *> FleetWatcher::ranked()
 {
     const auto now = this->timers.now();
     const auto rank = [this, now](const Watched &watched) {
-        const bool doubtful = !watched.hasLeader;
-        const bool unanswered = !watched.reachable && now - watched.addedAt >= this->options.nearPatience;
-        return std::tuple(watched.failing, unanswered, doubtful, this->distanceOf(watched), watched.order);
+        const bool withoutLeader = !watched.hasLeader;
+        const bool unanswered = !watched.reachable && now - watched.addedAt >= this->options.crossRegionDelay;
+        return std::tuple(watched.failing, unanswered, withoutLeader, this->distanceOf(watched), watched.order);
     };
     std::vector<Watched *> rows;
     for (auto &[endpoint, watched] : this->table) {
@@ -117,7 +118,7 @@
     return rows;
 }
 
-std::vector<FleetWatcher::Watched *> FleetWatcher::chosen()
+std::vector<FleetWatcher::Watched *> FleetWatcher::selected()
 {
     auto rows = this->ranked();
     if (rows.size() > this->options.maximumWatched) {
@@ -126,7 +127,8 @@
     return rows;
 }
 
-// The nearest one tells everything and the next ones of leavers; the others only confirm, since their bytes would be the same again.
+// The first coordinator sends all changes of the registry and the other selected ones send departures only. A coordinator that is not
+// selected sends no changes, since its bytes would be the same again.
 Protocol::RegistryInterest::type FleetWatcher::interestIn(const Watched &watched)
 {
     using Protocol::RegistryInterest;
@@ -134,9 +136,9 @@
         return RegistryInterest::EVERYTHING;
     }
     const auto rows = this->ranked();
-    // Until a coordinator has told where it and the others are, the near ones can't be known.
-    const bool mayBeFar = rows.size() > 1 && watched.zone.empty() && this->timers.now() - watched.addedAt < this->options.nearPatience;
-    if (mayBeFar) {
+    // The zones of the coordinators are unknown until one of them has replied, so this coordinator may be in another region.
+    const bool mayBeInOtherRegion = rows.size() > 1 && watched.zone.empty() && this->timers.now() - watched.addedAt < this->options.crossRegionDelay;
+    if (mayBeInOtherRegion) {
         return RegistryInterest::NOTHING;
     }
     if (rows.front() == &watched) {
@@ -146,16 +148,17 @@
     return std::find(rows.begin(), end, &watched) != end ? RegistryInterest::LEAVERS : RegistryInterest::NOTHING;
 }
 
-void FleetWatcher::askChosen()
+void FleetWatcher::watchSelected()
 {
-    for (auto *watched : this->chosen()) {
-        const bool toldLess = watched->asking && watched->askedInterest != Protocol::RegistryInterest::EVERYTHING;
-        if (toldLess && this->interestIn(*watched) == Protocol::RegistryInterest::EVERYTHING) {
-            // The nearest one has failed, and this one takes its place: it may hold the question that it has for long.
-            dropQuestion(*watched);
+    for (auto *watched : this->selected()) {
+        const bool isPartial = watched->inFlight && watched->requestedInterest != Protocol::RegistryInterest::EVERYTHING;
+        if (isPartial && this->interestIn(*watched) == Protocol::RegistryInterest::EVERYTHING) {
+            // This coordinator is now the first one, since the previous one failed. It may hold the request in flight for long, so that request is
+            // abandoned and the whole registry is requested at once.
+            abandonRequest(*watched);
         }
         if (!watched->retry.isActive()) {
-            this->ask(*watched);
+            this->sendRequest(*watched);
         }
     }
 }
@@ -171,13 +174,13 @@
     request.wantsHeard = this->options.wantsHeard;
     request.registryInterest = this->interestIn(watched);
     const bool wantsEverything = request.registryInterest == Protocol::RegistryInterest::EVERYTHING;
-    if (wantsEverything && !watched.toldEverything) {
+    if (wantsEverything && !watched.receivedEverything) {
         request.cursor = 0;
         request.gatewayCursor = 0;
     }
-    const bool overdue = this->newestKnown > this->held() && this->timers.now() - this->newestKnownSince >= this->options.declarationFallbackDelay;
+    const bool overdue = this->newestNamedVersion > this->heldVersion() && this->timers.now() - this->newestNamedAt >= this->options.declarationFallbackDelay;
     request.wantsDeclaration = this->options.wantsOrders && (wantsEverything || overdue);
-    request.declarationVersion = request.wantsDeclaration ? this->heldTextVersion : std::max(this->held(), this->newestKnown);
+    request.declarationVersion = request.wantsDeclaration ? this->declarationTextVersion : std::max(this->heldVersion(), this->newestNamedVersion);
     request.evacuationRevision = this->evacuated.revision;
     if (!this->options.wantsOrders) {
         request.declarationVersion = INT64_MAX;
@@ -190,20 +193,20 @@
     return request;
 }
 
-void FleetWatcher::ask(Watched &watched)
+void FleetWatcher::sendRequest(Watched &watched)
 {
-    if (watched.asking) {
+    if (watched.inFlight) {
         return;
     }
-    watched.asking = true;
+    watched.inFlight = true;
     const auto endpoint = watched.endpoint;
     if (!watched.channel) {
         watched.channel = Rpc::RpcChannel::create({.endpoint = endpoint, .callTimeout = this->options.responseTimeout, .limits = {}}, this->timers);
     }
     const auto request = this->makeRequest(watched);
-    watched.askedInterest = request.registryInterest;
-    watched.question = ++this->lastQuestion;
-    watched.askedAt = this->timers.now();
+    watched.requestedInterest = request.registryInterest;
+    watched.requestNumber = ++this->lastRequestNumber;
+    watched.requestedAt = this->timers.now();
     const std::weak_ptr<int> weak = this->alive;
     Rpc::call<Protocol::CoordinatorCobClient, Protocol::WatchReply>(
         watched.channel,
@@ -213,86 +216,87 @@
         [](auto &client, auto &reply) {
             client.recv_watch(reply);
         },
-        [this, weak, endpoint, request, number = watched.question](const Core::Result<Protocol::WatchReply> &answer) {
-            const bool isWanted = !weak.expired() && this->table.contains(endpoint) && this->table.at(endpoint).question == number;
-            if (isWanted) {
-                this->handleOutcome(endpoint, answer, request);
+        [this, weak, endpoint, request, sentNumber = watched.requestNumber](const Core::Result<Protocol::WatchReply> &reply) {
+            const bool isCurrent = !weak.expired() && this->table.contains(endpoint) && this->table.at(endpoint).requestNumber == sentNumber;
+            if (isCurrent) {
+                this->handleOutcome(endpoint, reply, request);
             }
         });
 }
 
-void FleetWatcher::dropQuestion(Watched &watched)
+void FleetWatcher::abandonRequest(Watched &watched)
 {
     watched.channel.reset();
-    watched.asking = false;
-    watched.question = NoQuestion;
+    watched.inFlight = false;
+    watched.requestNumber = NoRequest;
 }
 
-void FleetWatcher::askLater(const Core::Endpoint &endpoint, Core::Duration pause)
+void FleetWatcher::scheduleRequest(const Core::Endpoint &endpoint, Core::Duration delay)
 {
-    this->table.at(endpoint).retry = this->timers.once(pause, [this, endpoint](Core::Instant) {
+    this->table.at(endpoint).retry = this->timers.once(delay, [this, endpoint](Core::Instant) {
         const auto found = this->table.find(endpoint);
         if (found == this->table.end()) {
             return;
         }
-        const auto rows = this->chosen();
-        const bool wanted = std::find(rows.begin(), rows.end(), &found->second) != rows.end();
-        // One that fails is asked now and then all the same, to notice that it is back.
-        if (wanted || !found->second.reachable) {
-            this->ask(found->second);
+        const auto rows = this->selected();
+        const bool isSelected = std::find(rows.begin(), rows.end(), &found->second) != rows.end();
+        // An unreachable coordinator is sent watch requests even when it is not selected, so that its recovery is noticed.
+        if (isSelected || !found->second.reachable) {
+            this->sendRequest(found->second);
         } else {
-            dropQuestion(found->second);
-            // What it said of its leader is out of date by the time that it is needed again.
+            abandonRequest(found->second);
+            // Its last reply about the leader will be out of date when it is selected again, so a known leader is assumed.
             found->second.hasLeader = true;
         }
-        this->askChosen();
+        this->watchSelected();
     });
 }
 
-void FleetWatcher::handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &answer, const Protocol::WatchRequest &request)
+void FleetWatcher::handleOutcome(const Core::Endpoint &endpoint, const Core::Result<Protocol::WatchReply> &reply, const Protocol::WatchRequest &request)
 {
     auto &watched = this->table.at(endpoint);
-    watched.asking = false;
-    if (answer.has_value()) {
-        this->handleAnswer(watched, answer.value(), request);
+    watched.inFlight = false;
+    if (reply.has_value()) {
+        this->handleReply(watched, reply.value(), request);
     } else {
-        this->failed(watched, watched.channel->lastFailure());
+        this->handleFailure(watched, watched.channel->lastFailure());
     }
 }
 
-void FleetWatcher::handleAnswer(Watched &watched, const Protocol::WatchReply &answer, const Protocol::WatchRequest &request)
+void FleetWatcher::handleReply(Watched &watched, const Protocol::WatchReply &reply, const Protocol::WatchRequest &request)
 {
     using Protocol::RegistryInterest;
     const auto endpoint = watched.endpoint;
-    watched.lastAnswer = this->timers.now();
+    watched.lastReply = this->timers.now();
     watched.failing = false;
     if (!std::exchange(watched.reachable, true)) {
         Core::logEvent(Core::LogLevel::Information, "coordinator.reached", {{"coordinator", endpoint.toString()}});
     }
-    const bool isSameIncarnation = watched.incarnation == answer.coordinatorIncarnation;
-    const bool skipped = request.registryInterest == RegistryInterest::LEAVERS;
-    watched.toldEverything = request.registryInterest == RegistryInterest::EVERYTHING || (isSameIncarnation && watched.toldEverything && !skipped);
-    this->takeNews(watched, answer, request.declarationVersion);
-    if (answer.hasLeader && request.registryInterest == RegistryInterest::EVERYTHING) {
-        this->leaderKnown = std::max(this->leaderKnown, std::optional(watched.askedAt));
+    const bool isSameIncarnation = watched.incarnation == reply.coordinatorIncarnation;
+    const bool departuresOnly = request.registryInterest == RegistryInterest::LEAVERS;
+    watched.receivedEverything
+        = request.registryInterest == RegistryInterest::EVERYTHING || (isSameIncarnation && watched.receivedEverything && !departuresOnly);
+    this->applyReply(watched, reply, request.declarationVersion);
+    if (reply.hasLeader && request.registryInterest == RegistryInterest::EVERYTHING) {
+        this->latestLeaderSync = std::max(this->latestLeaderSync, std::optional(watched.requestedAt));
     }
-    if (request.confirm && answer.confirmed && this->wantsConfirmation) {
+    if (request.confirm && reply.confirmed && this->wantsConfirmation) {
         this->wantsConfirmation = false;
-        this->confirmedVersion = answer.declarationVersion;
-        Core::logEvent(Core::LogLevel::Information, "declaration.confirmed", {{"version", answer.declarationVersion}, {"coordinator", endpoint.toString()}});
-    }
-    // NOTE: Asked from the loop, so that a coordinator that answers at once can't keep this function from returning. One that told of a
-    //       declaration without its text is asked after a pause, to want the text from it if it has not come from the first one by then. But a
-    //       confirmation is not to wait for that, since nothing is answered before there is one.
-    const bool textMissing = this->options.wantsOrders && this->newestKnown > this->held() && !this->wantsConfirmation;
-    this->askLater(endpoint, textMissing ? this->options.declarationFallbackDelay : Core::Duration(0));
-    this->askChosen();
+        this->confirmedVersion = reply.declarationVersion;
+        Core::logEvent(Core::LogLevel::Information, "declaration.confirmed", {{"version", reply.declarationVersion}, {"coordinator", endpoint.toString()}});
+    }
+    // NOTE: The next watch request is sent from the event loop, so that a coordinator that replies at once can't keep this function from returning. When the
+    //       text of a newer declaration is missing, the request is delayed, so that it asks this coordinator for the text only if the first one has not sent
+    //       it by then. It is not delayed while a confirmation is awaited, since no search is answered before the confirmation.
+    const bool textMissing = this->options.wantsOrders && this->newestNamedVersion > this->heldVersion() && !this->wantsConfirmation;
+    this->scheduleRequest(endpoint, textMissing ? this->options.declarationFallbackDelay : Core::Duration(0));
+    this->watchSelected();
 }
 
-void FleetWatcher::takeNews(Watched &watched, const Protocol::WatchReply &reply, std::int64_t askedFrom)
+void FleetWatcher::applyReply(Watched &watched, const Protocol::WatchReply &reply, std::int64_t baseVersion)
 {
     const auto now = this->timers.now();
-    this->anyAnswer = true;
+    this->receivedReply = true;
     watched.incarnation = reply.coordinatorIncarnation;
     watched.cursor = reply.cursor;
     watched.gatewayCursor = reply.gatewayCursor;
@@ -307,12 +311,12 @@
         this->backends.recordRemoteHeartbeat(id, now);
         this->gateways.recordRemoteHeartbeat(id, now);
     }
-    if (reply.declarationVersion > this->newestKnown) {
-        this->newestKnown = reply.declarationVersion;
-        this->newestKnownSince = now;
+    if (reply.declarationVersion > this->newestNamedVersion) {
+        this->newestNamedVersion = reply.declarationVersion;
+        this->newestNamedAt = now;
     }
     this->applyEvacuations(reply);
-    this->applyDeclaration(reply, askedFrom);
+    this->applyDeclaration(reply, baseVersion);
     for (const auto &place : reply.coordinators) {
         const auto endpoint = Core::Endpoint::parse(place.address);
         if (endpoint.has_value() && endpoint.value() != this->options.own) {
@@ -326,7 +330,7 @@
     return this->evacuated;
 }
 
-// They come whole with each answer to a question that named an older revision, so whoever was confirmed to be current holds them.
+// A reply to a watch request with an older revision contains all evacuations, so a watcher whose state was confirmed holds the newest ones.
 void FleetWatcher::applyEvacuations(const Protocol::WatchReply &reply)
 {
     if (!reply.__isset.evacuations || reply.evacuations.revision <= this->evacuated.revision) {
@@ -338,47 +342,48 @@
     }
 }
 
-void FleetWatcher::applyDeclaration(const Protocol::WatchReply &reply, std::int64_t askedFrom)
+void FleetWatcher::applyDeclaration(const Protocol::WatchReply &reply, std::int64_t baseVersion)
 {
-    const bool carries = reply.__isset.declaration || reply.__isset.declarationDelta;
-    if (!carries || reply.declarationVersion <= this->heldTextVersion) {
+    const bool hasDeclaration = reply.__isset.declaration || reply.__isset.declarationDelta;
+    if (!hasDeclaration || reply.declarationVersion <= this->declarationTextVersion) {
         return;
     }
-    if (!reply.__isset.declaration && askedFrom != this->heldTextVersion) {
-        // Another coordinator's answer came in between, so the delta is not from the text that is held now. The next question says which one is.
+    if (!reply.__isset.declaration && baseVersion != this->declarationTextVersion) {
+        // The reply of another coordinator was applied after this request was sent, so the delta is based on a text other than the one held now. The next
+        // watch request names the version that is held.
         return;
     }
-    auto text = reply.__isset.declaration ? expandText(reply.declaration, MaximumTextBytes) : applyTextDelta(this->heldText, reply.declarationDelta);
+    auto text = reply.__isset.declaration ? expandText(reply.declaration, MaximumTextBytes) : applyTextDelta(this->declarationText, reply.declarationDelta);
     if (!text.has_value()) {
-        // Asked for whole next time.
+        // Without a held text the next watch request asks for the whole text.
         Core::logEvent(Core::LogLevel::Error, "declaration.unreadable", {{"version", reply.declarationVersion}, {"error", text.error().message}});
-        this->heldText.clear();
-        this->heldTextVersion = -1;
+        this->declarationText.clear();
+        this->declarationTextVersion = -1;
         return;
     }
-    this->heldText = std::move(text.value());
-    this->heldTextVersion = reply.declarationVersion;
+    this->declarationText = std::move(text.value());
+    this->declarationTextVersion = reply.declarationVersion;
     if (this->declarationReceived) {
-        this->declarationReceived(DeclarationVersion(reply.declarationVersion), this->heldText);
+        this->declarationReceived(DeclarationVersion(reply.declarationVersion), this->declarationText);
     }
 }
 
-void FleetWatcher::failed(Watched &watched, const std::string &reason)
+void FleetWatcher::handleFailure(Watched &watched, const std::string &reason)
 {
     const auto endpoint = watched.endpoint;
     watched.failing = true;
     if (std::exchange(watched.reachable, false)) {
         Core::logEvent(Core::LogLevel::Warning, "coordinator.lost", {{"coordinator", endpoint.toString()}, {"reason", reason}});
     }
-    const bool othersAnswer = this->reachableCount() > 0;
-    if (othersAnswer && this->timers.now() - watched.lastAnswer >= this->options.removalTimeout) {
-        // One that comes back is named again by the others.
+    const bool othersReachable = this->reachableCount() > 0;
+    if (othersReachable && this->timers.now() - watched.lastReply >= this->options.removalTimeout) {
+        // A removed coordinator that recovers is added again, since the replies of the others name it.
         Core::logEvent(Core::LogLevel::Information, "coordinator.given_up", {{"coordinator", endpoint.toString()}});
         this->table.erase(endpoint);
         return;
     }
-    this->askLater(endpoint, this->options.retryPause);
-    this->askChosen();
+    this->scheduleRequest(endpoint, this->options.retryDelay);
+    this->watchSelected();
 }
 
 }
--- a/Tests/LibCoordinator/TestRegistryStore.cpp
+++ b/Tests/LibCoordinator/TestRegistryStore.cpp
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The load pattern: all coordinators and gateways lose power at once. Callers are
-// there from the first moment, and heartbeats, which come every 1.2 s, would make
-// the backend servers known only one by one: on the heat network's days that end
-// with it, searches lacked shards for 0.8 s after the log had its leader.
+// Tests of the ready backend servers that a coordinator stores on its disk. They
+// guard against searches that lack shards after all coordinators and gateways lost
+// power at once: callers send searches from the first moment, and heartbeats, which
+// are sent every 1.2 s, make the backend servers known only one by one. Without the
+// store, searches lacked shards for 0.8 s after the log had elected its leader.
 
 #include <LibCoordinator/RegistryStore.h>
 #include <LibFleet/BackendRegistry.h>
@@ -48,32 +49,32 @@
 
 }
 
-Test(RegistryStore, keepsWhoIsReadyOverALossOfPower)
+Test(RegistryStore, restoresReadyBackendsAfterALossOfPower)
 {
     TestSupport::FakeFolder folder;
     std::mt19937_64 random(1);
     Coordinator::RegistryStore store;
-    store.note(announcement("a"));
-    store.note(announcement("b"));
+    store.addChange(announcement("a"));
+    store.addChange(announcement("b"));
     cr_assert(store.flush(folder).has_value());
-    store.note(announcement("c"));
-    store.note(announcement("a", BackendPhase::DRAINING));
+    store.addChange(announcement("c"));
+    store.addChange(announcement("a", BackendPhase::DRAINING));
     cr_assert(store.flush(folder).has_value());
     cr_assert_not(store.hasUnwritten());
     folder.crash(random);
     cr_assert(idsIn(folder) == Ids({"b", "c"}));
 }
 
-Test(RegistryStore, readsWhatIsWholeOfAFileThatWasCutShort)
+Test(RegistryStore, readsTheIntactPartOfATruncatedFile)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         TestSupport::FakeFolder folder;
         std::mt19937_64 random(seed);
         Coordinator::RegistryStore store;
-        store.note(announcement("a"));
+        store.addChange(announcement("a"));
         cr_assert(store.flush(folder).has_value());
-        store.note(announcement("b"));
-        // A write, and then no sync.
+        store.addChange(announcement("b"));
+        // The write succeeds and the sync fails.
         folder.failAfter(1);
         cr_assert_not(store.flush(folder).has_value());
         folder.failNever();
@@ -83,32 +84,32 @@
     }
 }
 
-Test(RegistryStore, writesEverythingAnewAfterAFailure)
+Test(RegistryStore, rewritesTheWholeFileAfterAFailure)
 {
     TestSupport::FakeFolder folder;
     Coordinator::RegistryStore store;
-    store.note(announcement("a"));
+    store.addChange(announcement("a"));
     folder.failAfter(0);
     cr_assert_not(store.flush(folder).has_value());
     folder.failNever();
-    store.note(announcement("b"));
+    store.addChange(announcement("b"));
     cr_assert(store.flush(folder).has_value());
     cr_assert(idsIn(folder) == Ids({"a", "b"}));
 }
 
-Test(RegistryStore, theFileStaysShortOverManyChanges)
+Test(RegistryStore, boundsTheLengthOfTheFile)
 {
     TestSupport::FakeFolder folder;
     Coordinator::RegistryStore store;
     for (int count = 0; count < 4000; ++count) {
-        store.note(announcement("a", count % 2 == 0 ? BackendPhase::SILENT : BackendPhase::READY, count));
+        store.addChange(announcement("a", count % 2 == 0 ? BackendPhase::SILENT : BackendPhase::READY, count));
         cr_assert(store.flush(folder).has_value());
     }
     cr_assert_leq(folder.size("backends"), 64 * 1024);
     cr_assert(idsIn(folder) == Ids({"a"}));
 }
 
-Test(RestoredRegistry, servesAtOnceAndForgetsWhoMakesNoHeartbeat)
+Test(RestoredRegistry, isReadyUntilTheUnconfirmedTimeout)
 {
     Fleet::BackendRegistry registry;
     const Core::Instant start(Core::seconds(100));
@@ -116,17 +117,17 @@
     registry.restore(announcement("ended"), start);
     cr_assert_eq(registry.readyCount(), 2);
     const auto oneHeartbeat = start + Core::milliseconds(1200);
-    cr_assert(!registry.merge(announcement("lives", BackendPhase::READY, 9), oneHeartbeat), "a heartbeat alone is no news");
+    cr_assert(!registry.merge(announcement("lives", BackendPhase::READY, 9), oneHeartbeat), "a heartbeat that changes nothing else is not sent to watchers");
     cr_assert_eq(registry.expireUnconfirmed(oneHeartbeat), 0);
     cr_assert_eq(registry.expireUnconfirmed(start + Core::seconds(4)), 1);
     cr_assert_eq(registry.find("ended")->announcement.phase, BackendPhase::SILENT);
     cr_assert_eq(registry.find("lives")->announcement.phase, BackendPhase::READY);
-    // A heartbeat that was only late brings it back.
+    // A late heartbeat makes the backend server ready again.
     cr_assert(registry.merge(announcement("ended", BackendPhase::READY, 10), start + Core::seconds(5)));
     cr_assert_eq(registry.find("ended")->announcement.phase, BackendPhase::READY);
 }
 
-Test(RestoredRegistry, neverBringsBackOneThatIsKnownToHaveLeft)
+Test(RestoredRegistry, doesNotReplaceADeregistration)
 {
     Fleet::BackendRegistry registry;
     const Core::Instant now(Core::seconds(100));
@@ -135,7 +136,7 @@
     cr_assert_eq(registry.find("left")->announcement.phase, BackendPhase::GONE);
 }
 
-Test(RestoredRegistry, aHeartbeatThatReachedAnotherCoordinatorConfirms)
+Test(RestoredRegistry, isConfirmedByARemoteHeartbeat)
 {
     Fleet::BackendRegistry registry;
     const Core::Instant start(Core::seconds(100));
@@ -144,28 +145,29 @@
     cr_assert_eq(registry.expireUnconfirmed(start + Core::seconds(10)), 0);
 }
 
-// The load pattern: thousands of backend servers that call every 5 s, and a coordinator that starts from its disk. Each calls within a period and
-// what a heartbeat is late; one taken for silent before is taken away from all gateways, and told of again when it calls.
-Test(RegistryStore, takesNobodyForSilentBeforeItsHeartbeatCanHaveCome)
+// A coordinator restores thousands of backend servers from its disk, which send a heartbeat every 5 s. Each heartbeat is received within one period and its
+// delay. A backend server that is marked silent before is removed from all gateways and sent to them again with its heartbeat.
+Test(RegistryStore, appliesTheUnconfirmedTimeoutOnlyAfterAHeartbeatCouldArrive)
 {
     for (const auto period : {Core::milliseconds(400), Core::milliseconds(1200), Core::milliseconds(5000)}) {
         Fleet::BackendRegistry registry({.unconfirmedTimeout = Fleet::HeartbeatTimes::of(period).unconfirmedTimeout});
         static constexpr int Servers = 1000;
         std::mt19937_64 random(3);
-        std::multimap<Core::Duration, std::string> calls;
+        std::multimap<Core::Duration, std::string> heartbeats;
         for (int number = 0; number < Servers; ++number) {
             const auto name = std::to_string(number);
             registry.restore(announcement(name), Core::Instant());
             const auto late = random() % 20 == 0 ? Core::milliseconds(static_cast<std::int64_t>(random() % 2000)) : Core::Duration(0);
-            calls.emplace(Core::Duration(static_cast<Core::Duration::rep>(random() % static_cast<std::uint64_t>(Core::Duration(period).count()))) + late, name);
+            heartbeats.emplace(
+                Core::Duration(static_cast<Core::Duration::rep>(random() % static_cast<std::uint64_t>(Core::Duration(period).count()))) + late, name);
         }
         std::size_t silent = 0;
-        for (const auto &[time, name] : calls) {
+        for (const auto &[time, name] : heartbeats) {
             silent += registry.expireUnconfirmed(Core::Instant(time));
             registry.mergeHeartbeat(announcement(name, BackendPhase::READY, 8), Core::Instant(time));
         }
         cr_assert_eq(silent, 0, "%zu with a period of %ld ms", silent, static_cast<long>(Core::toMilliseconds(period)));
         registry.restore(announcement("left"), Core::Instant());
-        cr_assert_eq(registry.expireUnconfirmed(Core::Instant(period + Core::seconds(3))), 1, "one that does not call");
+        cr_assert_eq(registry.expireUnconfirmed(Core::Instant(period + Core::seconds(3))), 1, "a backend server that sends no heartbeat becomes silent");
     }
 }
--- a/Tests/LibFleet/TestFleetWatcher.cpp
+++ b/Tests/LibFleet/TestFleetWatcher.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What a watcher asks of which coordinator, and what it makes of their answers.
+// Tests of which watch requests a watcher sends to which coordinators, and of how it applies their updates.
 
 #include <LibFleet/FleetWatcher.h>
 #include <LibFleet/TextDelta.h>
@@ -18,7 +18,7 @@
 using Protocol::WatchReply;
 using Protocol::WatchRequest;
 
-/** A stand-in for a coordinator whose every answer a test decides. */
+/** A coordinator whose replies are chosen by a script of the test. A watch request for which the script gives no reply is held. */
 class ScriptedCoordinator : public Protocol::CoordinatorCobSvIf
 {
 public:
@@ -26,7 +26,7 @@
 
     ScriptedCoordinator(TestSupport::LoopFixture &fixture, Script script) : endpoint(TestSupport::freeEndpoint()), script(std::move(script))
     {
-        // The server must not own what owns it.
+        // The server must not own this object, which owns the server.
         const std::shared_ptr<ScriptedCoordinator> unowned(this, [](ScriptedCoordinator *) {
         });
         this->server = Rpc::RpcServer::create(
@@ -58,7 +58,7 @@
     std::unique_ptr<Rpc::RpcServer> server;
 };
 
-/** A watcher in one region, with coordinators that a test adds. */
+/** A watcher in one zone, with coordinators that the test adds in its own zone or in other regions. */
 class WatcherFixture : public TestSupport::LoopFixture
 {
 public:
@@ -101,7 +101,7 @@
         this->watcher.addCoordinators(endpoints);
     }
 
-    /** An answer that names all coordinators. */
+    /** A reply that names all coordinators. */
     [[nodiscard]] WatchReply reply(std::int64_t declared) const
     {
         WatchReply made;
@@ -121,22 +121,22 @@
     Fleet::FleetWatcher watcher;
 };
 
-/** Answers the first question of a watcher at once and holds the others, as a coordinator without news does. */
-ScriptedCoordinator::Script answeringOnce(const WatcherFixture &fixture, std::int64_t declared)
+/** Answers the first watch request at once and holds the others, as a coordinator without an update does. */
+ScriptedCoordinator::Script answerOnce(const WatcherFixture &fixture, std::int64_t declared)
 {
     return [&fixture, declared](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.coordinatorIncarnation == 0 ? std::optional(fixture.reply(declared)) : std::nullopt;
     };
 }
 
-bool asksForRegistry(const ScriptedCoordinator &coordinator)
+bool receivedRegistryRequest(const ScriptedCoordinator &coordinator)
 {
     return std::any_of(coordinator.requests.begin(), coordinator.requests.end(), [](const WatchRequest &request) {
         return request.registryInterest != Protocol::RegistryInterest::NOTHING || request.wantsDeclaration;
     });
 }
 
-/** Texts whose common part is at another place in each. */
+/** Texts with a common part whose position depends on the length of the name. */
 std::string longText(const std::string &name)
 {
     std::string text = name + "\n";
@@ -148,24 +148,25 @@
 
 }
 
-Test(FleetWatcher, takesRegistryAndDeclarationFromTheNearCoordinatorOnly)
+Test(FleetWatcher, requestsRegistryAndDeclarationFromTheSameZoneOnly)
 {
     WatcherFixture fixture;
-    const auto &near = fixture.add("near", answeringOnce(fixture, -1));
-    const auto &far = fixture.add("far-1", answeringOnce(fixture, -1));
-    const auto &farther = fixture.add("far-2", answeringOnce(fixture, -1));
+    const auto &sameZone = fixture.add("near", answerOnce(fixture, -1));
+    const auto &otherRegion = fixture.add("far-1", answerOnce(fixture, -1));
+    const auto &thirdRegion = fixture.add("far-2", answerOnce(fixture, -1));
     fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return asksForRegistry(near) && near.requests.back().confirm;
+        return receivedRegistryRequest(sameZone) && sameZone.requests.back().confirm;
     }));
     fixture.settle(Core::milliseconds(50));
-    cr_assert_not(asksForRegistry(far));
-    cr_assert_not(asksForRegistry(farther));
-    cr_assert(far.requests.size() <= 1 && farther.requests.size() <= 1, "a near one confirms as well, so hundreds of watchers need not meet at a far leader");
+    cr_assert_not(receivedRegistryRequest(otherRegion));
+    cr_assert_not(receivedRegistryRequest(thirdRegion));
+    cr_assert(otherRegion.requests.size() <= 1 && thirdRegion.requests.size() <= 1,
+        "a coordinator of the same zone confirms as well, so hundreds of watchers need not send requests to a leader in another region");
 }
 
-Test(FleetWatcher, isConfirmedByAFarOneWhileTheNearOneHearsNoLeader)
+Test(FleetWatcher, isConfirmedByAnotherRegionWhileTheSameZoneHasNoKnownLeader)
 {
     WatcherFixture fixture;
     fixture.add("near", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
@@ -187,27 +188,27 @@
     }));
 }
 
-Test(FleetWatcher, takesThemFromAFarOneWhenNoNearOneAnswers)
+Test(FleetWatcher, requestsRegistryAndDeclarationFromAnotherRegionWhenTheSameZoneDoesNotReply)
 {
     WatcherFixture fixture;
-    const auto &far = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
+    const auto &otherRegion = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
         return fixture.reply(-1);
     });
-    fixture.add("far-2", answeringOnce(fixture, -1));
+    fixture.add("far-2", answerOnce(fixture, -1));
     fixture.add("near", [](const WatchRequest &) -> std::optional<WatchReply> {
         return std::nullopt;
     });
     fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return asksForRegistry(far) || asksForRegistry(*fixture.coordinators[1]);
+        return receivedRegistryRequest(otherRegion) || receivedRegistryRequest(*fixture.coordinators[1]);
     }));
 }
 
-Test(FleetWatcher, isConfirmedOnlyOnceItHoldsWhatWasConfirmed)
+Test(FleetWatcher, isConfirmedOnlyOnceItHoldsTheConfirmedVersion)
 {
     WatcherFixture fixture(2);
-    auto &near = fixture.add("near", answeringOnce(fixture, -1));
+    auto &sameZone = fixture.add("near", answerOnce(fixture, -1));
     for (const auto *zone : {"far-1", "far-2"}) {
         fixture.add(zone, [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
             auto reply = fixture.reply(7);
@@ -218,11 +219,11 @@
     fixture.watcher.requestConfirmation();
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return asksForRegistry(near);
+        return receivedRegistryRequest(sameZone);
     }));
     fixture.settle(Core::milliseconds(50));
-    cr_assert_not(fixture.watcher.isConfirmed(), "version 7 is confirmed, but its text is not here");
-    near.script = [&fixture](const WatchRequest &request) -> std::optional<WatchReply> {
+    cr_assert_not(fixture.watcher.isConfirmed(), "version 7 is confirmed, but its text has not been received");
+    sameZone.script = [&fixture](const WatchRequest &request) -> std::optional<WatchReply> {
         if (!request.wantsDeclaration) {
             return std::nullopt;
         }
@@ -230,7 +231,7 @@
         reply.__set_declaration(Fleet::compressText("seven"));
         return reply;
     };
-    for (const auto &answer : std::exchange(near.held, {})) {
+    for (const auto &answer : std::exchange(sameZone.held, {})) {
         answer(fixture.reply(7));
     }
     cr_assert(fixture.runUntil([&] {
@@ -239,74 +240,75 @@
     cr_assert(fixture.version == 7 && fixture.text == "seven");
 }
 
-Test(FleetWatcher, wantsOnlyLeaversOfTheSecondCoordinatorUntilTheFirstFails)
+Test(FleetWatcher, requestsOnlyDeparturesFromTheSecondCoordinatorUntilTheFirstFails)
 {
     using Protocol::RegistryInterest;
     WatcherFixture fixture(2);
-    auto &near = fixture.add("near", answeringOnce(fixture, -1));
-    auto &far = fixture.add("far-1", answeringOnce(fixture, -1));
-    fixture.add("far-2", answeringOnce(fixture, -1));
+    auto &sameZone = fixture.add("near", answerOnce(fixture, -1));
+    auto &otherRegion = fixture.add("far-1", answerOnce(fixture, -1));
+    fixture.add("far-2", answerOnce(fixture, -1));
     fixture.start();
     const auto lastInterest = [](const ScriptedCoordinator &coordinator) {
         return coordinator.requests.empty() ? RegistryInterest::NOTHING : coordinator.requests.back().registryInterest;
     };
-    const auto &farther = *fixture.coordinators[2];
+    const auto &thirdRegion = *fixture.coordinators[2];
     const auto second = [&]() -> const ScriptedCoordinator & {
-        return lastInterest(far) == RegistryInterest::LEAVERS ? far : farther;
+        return lastInterest(otherRegion) == RegistryInterest::LEAVERS ? otherRegion : thirdRegion;
     };
     cr_assert(fixture.runUntil([&] {
-        return lastInterest(near) == RegistryInterest::EVERYTHING && lastInterest(second()) == RegistryInterest::LEAVERS;
+        return lastInterest(sameZone) == RegistryInterest::EVERYTHING && lastInterest(second()) == RegistryInterest::LEAVERS;
     }));
-    near.server.reset();
+    sameZone.server.reset();
     cr_assert(fixture.runUntil([&] {
-        return lastInterest(far) == RegistryInterest::EVERYTHING || lastInterest(farther) == RegistryInterest::EVERYTHING;
+        return lastInterest(otherRegion) == RegistryInterest::EVERYTHING || lastInterest(thirdRegion) == RegistryInterest::EVERYTHING;
     }),
-        "although it holds the question for leavers");
-    auto &heir = *fixture.coordinators[lastInterest(far) == RegistryInterest::EVERYTHING ? 1 : 2];
-    cr_assert(heir.requests.back().cursor == 0, "from the beginning");
-    // Two questions are under way to it, and the first of them was dropped. Its answer was taken for one to the second, which was asked once more
-    // and in the end dropped with its channel: a failure that came for it ended the process.
-    cr_assert(heir.held.size() == 2);
-    const auto asked = heir.requests.size();
-    heir.held.front()(fixture.reply(-1));
+        "although it holds the request for departures");
+    auto &successor = *fixture.coordinators[lastInterest(otherRegion) == RegistryInterest::EVERYTHING ? 1 : 2];
+    cr_assert(successor.requests.back().cursor == 0, "the whole registry is requested");
+    // This coordinator holds two watch requests, the first of which the watcher has abandoned. The reply to the first one must be discarded. If it is handled
+    // as the reply to the second one, the second request is sent once more and later abandoned with its channel, and its failure ends the process.
+    cr_assert(successor.held.size() == 2);
+    const auto requestsBefore = successor.requests.size();
+    successor.held.front()(fixture.reply(-1));
     fixture.settle(Core::milliseconds(100));
-    cr_assert(heir.requests.size() == asked);
+    cr_assert(successor.requests.size() == requestsBefore);
 }
 
-// A gateway once fell silent for good: a question was asked twice, and the channel of one of them was dropped when the order changed.
-Test(FleetWatcher, goesOnAskingWhenTheOrderOfCoordinatorsChanges)
+// Guards against a watcher that stops sending watch requests for good. This happens when a watch request is sent twice and the channel of one of the two is
+// closed after the order of the coordinators has changed.
+Test(FleetWatcher, continuesToSendRequestsWhenTheOrderOfCoordinatorsChanges)
 {
     WatcherFixture fixture;
-    bool nearHasLeader = true;
-    auto &near = fixture.add("near", [&](const WatchRequest &) -> std::optional<WatchReply> {
+    bool sameZoneHasLeader = true;
+    auto &sameZone = fixture.add("near", [&](const WatchRequest &) -> std::optional<WatchReply> {
         auto reply = fixture.reply(-1);
-        reply.hasLeader = nearHasLeader;
+        reply.hasLeader = sameZoneHasLeader;
         return reply;
     });
-    const auto &far = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
+    const auto &otherRegion = fixture.add("far-1", [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
         return fixture.reply(-1);
     });
     fixture.start();
     for (int round = 0; round < 5; ++round) {
-        nearHasLeader = false;
-        const auto askedFar = far.requests.size();
+        sameZoneHasLeader = false;
+        const auto otherRegionBefore = otherRegion.requests.size();
         cr_assert(fixture.runUntil([&] {
-            return far.requests.size() > askedFar + 2;
+            return otherRegion.requests.size() > otherRegionBefore + 2;
         }),
-            "round %d: the far one has a leader",
+            "round %d: the coordinator of the other region has a leader",
             round);
-        // It is asked again only once the far one loses its leader too.
-        nearHasLeader = true;
+        // The watcher requests updates from the coordinator of its zone again only once the one of the other region has lost its leader, too.
+        sameZoneHasLeader = true;
         fixture.coordinators[1]->script = [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
             auto reply = fixture.reply(-1);
             reply.hasLeader = false;
             return reply;
         };
-        const auto askedNear = near.requests.size();
+        const auto sameZoneBefore = sameZone.requests.size();
         cr_assert(fixture.runUntil([&] {
-            return near.requests.size() > askedNear + 2;
+            return sameZone.requests.size() > sameZoneBefore + 2;
         }),
-            "round %d: the near one has a leader again",
+            "round %d: the coordinator of the same zone has a leader again",
             round);
         fixture.coordinators[1]->script = [&fixture](const WatchRequest &) -> std::optional<WatchReply> {
             return fixture.reply(-1);
@@ -314,8 +316,9 @@
     }
 }
 
-// Two coordinators answered with deltas from the same text, and the second one was applied to what the first had led to.
-Test(FleetWatcher, appliesNoDeltaToAnotherTextThanItWasMadeFor)
+// Guards against applying a delta to a text other than its base, which happens when two coordinators send deltas from the same base and the second delta is
+// applied to the result of the first.
+Test(FleetWatcher, appliesADeltaToItsBaseTextOnly)
 {
     WatcherFixture fixture(2);
     const std::vector<std::string> texts{"", longText("one"), longText("the second"), longText("three")};
@@ -331,42 +334,42 @@
         }
         return reply;
     };
-    auto &near = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    auto &sameZone = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
         if (!request.wantsDeclaration) {
-            // It is asked for the text once it is known to be the nearest.
+            // The watcher requests the text once it knows that this coordinator is in its zone.
             return fixture.reply(1);
         }
         return request.declarationVersion < 1 ? std::optional(answer(request, 1)) : std::nullopt;
     });
-    auto &far = fixture.add("far-1", answeringOnce(fixture, 1));
+    auto &otherRegion = fixture.add("far-1", answerOnce(fixture, 1));
     fixture.start();
     cr_assert(fixture.runUntil([&] {
-        return fixture.version == 1 && near.held.size() == 1 && far.held.size() == 1;
+        return fixture.version == 1 && sameZone.held.size() == 1 && otherRegion.held.size() == 1;
     }));
-    cr_assert(near.requests.back().declarationVersion == 1);
-    const auto fromOne = answer(near.requests.back(), 3);
-    near.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    cr_assert(sameZone.requests.back().declarationVersion == 1);
+    const auto deltaFromOne = answer(sameZone.requests.back(), 3);
+    sameZone.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.declarationVersion < 3 ? std::optional(answer(request, 3)) : std::nullopt;
     };
-    // The far one tells of version 2, and is asked for its text when the near one keeps silent about it.
-    far.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    // The coordinator of the other region names version 2 and is asked for its text after the fallback delay, in which the first one does not send it.
+    otherRegion.script = [&](const WatchRequest &request) -> std::optional<WatchReply> {
         return request.wantsDeclaration && request.declarationVersion < 2 ? std::optional(answer(request, 2)) : std::nullopt;
     };
-    far.held.front()(fixture.reply(2));
+    otherRegion.held.front()(fixture.reply(2));
     cr_assert(fixture.runUntil([&] {
         return fixture.version == 2;
     }));
-    near.held.front()(fromOne);
+    sameZone.held.front()(deltaFromOne);
     cr_assert(fixture.runUntil([&] {
         return fixture.version == 3;
     }));
     cr_assert(fixture.text == texts[3]);
-    cr_assert(wholeTexts == 1, "no text was wanted whole again");
+    cr_assert(wholeTexts == 1, "the whole text was requested only once");
 }
 
-// After a stop of everything the far leader tells of the declaration before the near coordinator has brought its text. All callers are refused
-// until the confirmation is there, so it is asked for at once.
-Test(FleetWatcher, confirmationDoesNotWaitForTheTextOfTheDeclaration)
+// After a stop of all processes the leader in another region may name the declaration's version before the coordinator of the same zone has sent its text.
+// All requests of callers are refused until the confirmation is received, so the watcher must request it without the fallback delay.
+Test(FleetWatcher, requestsTheConfirmationWithoutWaitingForTheDeclarationText)
 {
     WatcherFixture fixture(1, Core::seconds(60));
     fixture.add("near", [](const WatchRequest &) {
@@ -389,11 +392,12 @@
     }));
 }
 
-// Whoever serves again after a start or a cut has to know what was evacuated meanwhile; the confirmation and the zones come in one answer.
-Test(FleetWatcher, holdsTheEvacuationsOnceItIsConfirmed)
+// A gateway that serves again after a start or a network partition has to know the zones that were evacuated meanwhile. The confirmation and the evacuations
+// are sent in one reply.
+Test(FleetWatcher, holdsTheNewestEvacuationsOnceItIsConfirmed)
 {
     WatcherFixture fixture;
-    const auto &near = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
+    const auto &sameZone = fixture.add("near", [&](const WatchRequest &request) -> std::optional<WatchReply> {
         if (request.evacuationRevision >= 3) {
             return std::nullopt;
         }
@@ -408,7 +412,7 @@
     int arrivals = 0;
     fixture.watcher.evacuationsChanged = [&](const Protocol::Evacuations &evacuations) {
         arrivals += evacuations.zones == std::vector<std::string>{"far-1"} ? 1 : 100;
-        cr_assert_not(fixture.watcher.isConfirmed(), "the zones are in force before anything is served");
+        cr_assert_not(fixture.watcher.isConfirmed(), "the evacuations are active before any request is served");
     };
     fixture.watcher.requestConfirmation();
     fixture.start();
@@ -416,7 +420,7 @@
         return fixture.watcher.isConfirmed();
     }));
     cr_assert(fixture.runUntil([&] {
-        return near.requests.back().evacuationRevision == 3;
+        return sameZone.requests.back().evacuationRevision == 3;
     }));
     cr_assert_eq(arrivals, 1);
     cr_assert(fixture.watcher.evacuations().zones.size() == 1);
--- a/Tests/LibFleet/TestRouteTable.cpp
+++ b/Tests/LibFleet/TestRouteTable.cpp
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Routes by host and longest prefix.
+// Tests of the selection of routes by host and path prefix.
 
 #include <LibFleet/Declaration.h>
 
 #include <criterion/criterion.h>
 
-Test(RouteTable, findsTheLongestPrefix)
+Test(RouteTable, selectsTheRouteWithTheLongestPrefix)
 {
     auto declaration = std::make_shared<Fleet::Declaration>();
     const auto add = [&declaration](const char *name, const char *host, const char *prefix) {
--- a/Tests/LibFleet/TestTextDelta.cpp
+++ b/Tests/LibFleet/TestTextDelta.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Deltas between texts lead to exactly the later one, or say that they don't.
+// Tests that a text delta and a compressed text give exactly the original text or an error.
 
 #include <LibFleet/TextDelta.h>
 
@@ -20,7 +20,7 @@
     return text;
 }
 
-Test(TextDelta, leadsFromAnyTextToAnyOther)
+Test(TextDelta, turnsAnyTextIntoAnyOther)
 {
     std::mt19937 random(7);
     for (int round = 0; round < 400; ++round) {
@@ -36,7 +36,7 @@
     }
 }
 
-Test(TextDelta, isSmallForASmallChange)
+Test(TextDelta, isShortForASmallChange)
 {
     std::mt19937 random(3);
     const auto before = randomText(random, 300'000);
@@ -46,7 +46,7 @@
     cr_assert(Fleet::makeTextDelta(before, after).size() < 400);
 }
 
-Test(TextDelta, noticesThatItDoesNotFit)
+Test(TextDelta, isRejectedForAnotherBaseTextOrWhenTruncated)
 {
     std::mt19937 random(5);
     const auto before = randomText(random, 500);
@@ -57,18 +57,18 @@
     cr_assert_not(Fleet::applyTextDelta(other, delta).has_value());
     for (std::size_t length = 0; length < delta.size(); ++length) {
         const auto applied = Fleet::applyTextDelta(before, std::string_view(delta).substr(0, length));
-        cr_assert(!applied.has_value(), "cut at %zu", length);
+        cr_assert(!applied.has_value(), "truncated to %zu bytes", length);
     }
 }
 
-Test(CompressedText, comesBackWholeOrNotAtAll)
+Test(CompressedText, expandsToTheOriginalOrFails)
 {
     std::mt19937 random(9);
     const auto text = randomText(random, 5000);
     const auto bytes = Fleet::compressText(text);
     cr_assert(bytes.size() < text.size());
     cr_assert(Fleet::expandText(bytes, 5000).value() == text);
-    cr_assert_not(Fleet::expandText(bytes, 4999).has_value(), "over the limit");
+    cr_assert_not(Fleet::expandText(bytes, 4999).has_value(), "longer than allowed");
     for (std::size_t length = 0; length < bytes.size(); length += 13) {
         cr_assert_not(Fleet::expandText(std::string_view(bytes).substr(0, length), 5000).has_value());
     }
