--- a/Libraries/LibCoordinator/DeclarationLog.cpp
+++ b/Libraries/LibCoordinator/DeclarationLog.cpp
@@ -211,7 +211,7 @@
     }
     const auto decided = this->waiting.take(entry);
     if (decided.has_value()) {
-        decided->hook(decided->isOwn ? ProposalEnd::Committed : ProposalEnd::Unknown);
+        decided->hook(decided->isProposedEntry ? ProposalEnd::Committed : ProposalEnd::Unknown);
     }
 }
 
--- a/Libraries/LibCoordinator/RegistryStore.cpp
+++ b/Libraries/LibCoordinator/RegistryStore.cpp
@@ -32,7 +32,7 @@
         return {};
     }
     std::string_view rest = content.value();
-    while (!rest.empty() && Storage::examineBatch(rest) == Storage::BatchState::Whole) {
+    while (!rest.empty() && Storage::examineBatch(rest) == Storage::BatchState::Intact) {
         const auto batch = Storage::batchContent(rest);
         const auto announcement = Rpc::deserialize<Protocol::BackendAnnouncement>(batch);
         if (!announcement.has_value()) {
