--- a/Libraries/LibEntry/EntryNode.cpp
+++ b/Libraries/LibEntry/EntryNode.cpp
@@ -318,7 +318,7 @@
 
 void EntryNode::finishDrain()
 {
-    this->state.draining = this->timers.now() - this->leavingSince.value() >= this->options.balancerNotice;
+    this->state.draining = this->timers.now() - this->leavingSince.value() >= this->options.drainNotice;
     if (!this->state.draining || this->queries.underWay() > 0 || this->actions.underWay() > 0) {
         return;
     }
--- a/Libraries/LibEntry/EntryNode.h
+++ b/Libraries/LibEntry/EntryNode.h
@@ -33,7 +33,7 @@
     std::vector<Core::Endpoint> controlInstances;
     std::int64_t incarnation{0};
     /** A planned stop still takes work for this long after /readyz says no, since the balancer needs to notice. */
-    Core::Duration balancerNotice{Core::milliseconds(1000)};
+    Core::Duration drainNotice{Core::milliseconds(1000)};
 };
 
 /** Wires the parts; decides nothing itself. */
--- a/Libraries/LibEntry/HedgePolicy.h
+++ b/Libraries/LibEntry/HedgePolicy.h
@@ -26,7 +26,7 @@
     std::optional<Core::Duration> fixedDelay;
     Core::Duration shortestDelay{Core::milliseconds(2)};
     /** Used until enough latencies are known. */
-    Core::Duration unknownDelay{Core::milliseconds(30)};
+    Core::Duration fallbackDelay{Core::milliseconds(30)};
     LoadBudgetOptions hedgeBudget{.earnedPerRequest = 0.05, .burst = 20.0};
     LoadBudgetOptions retryBudget{.earnedPerRequest = 0.10, .burst = 50.0};
 };
