--- a/Tests/LibEntry/TestRegistry.cpp
+++ b/Tests/LibEntry/TestRegistry.cpp
@@ -22,9 +22,9 @@
     return fixture.state.backends.isUsable(firstRow(fixture), fixture.time.now());
 }
 
-// ---- Registry
+// ---- Table of backend servers
 
-Test(BackendTable, sendsNothingNewAfterTheLeaseWithoutAnyWord)
+Test(BackendTable, backendIsUnusableAfterItsLeaseExpired)
 {
     EntryFixture fixture;
     cr_expect(firstIsUsable(fixture));
@@ -34,7 +34,7 @@
     cr_expect(!firstIsUsable(fixture));
 }
 
-Test(BackendTable, neverBringsALeaverBackByAnOldAnnouncement)
+Test(BackendTable, leavingIncarnationNeverBecomesUsableAgain)
 {
     EntryFixture fixture;
     auto early = fixture.announcement(0, 0, 1, "map-1");
@@ -43,7 +43,7 @@
     fixture.announce(leaving);
     cr_expect(!firstIsUsable(fixture));
     cr_expect_eq(static_cast<int>(fixture.state.backends.announce(early, Core::Duration(0), fixture.time.now())), static_cast<int>(AnnounceOutcome::Outdated));
-    // Even a newer word of the same incarnation does not undo that it leaves.
+    // A newer announcement of the same incarnation does not make it usable again.
     fixture.announce(fixture.announcement(0, 0, 1, "map-1"));
     cr_expect(!firstIsUsable(fixture));
     auto restarted = fixture.announcement(0, 0, 1, "map-1");
@@ -52,16 +52,16 @@
     cr_expect(firstIsUsable(fixture));
 }
 
-Test(BackendTable, takesTheBackendServersOwnRefusalForLeaving)
+Test(BackendTable, refusalMarksTheBackendAsLeaving)
 {
     EntryFixture fixture;
     fixture.state.backends.markLeaving(BackendId(0), 1);
     cr_expect(!firstIsUsable(fixture));
     fixture.state.backends.recordReply(BackendId(0), 1, fixture.time.now());
-    cr_expect(!firstIsUsable(fixture), "a late reply is no sign of staying");
+    cr_expect(!firstIsUsable(fixture), "a late reply does not revoke that it leaves");
 }
 
-Test(BackendTable, keepsWhoAnswersAlthoughAnnouncementsAreLost)
+Test(BackendTable, repliesRenewTheLeaseWhenAnnouncementsAreLost)
 {
     EntryFixture fixture;
     for (int second = 0; second < 20; ++second) {
@@ -70,10 +70,11 @@
     }
     cr_expect(firstIsUsable(fixture));
     fixture.state.backends.recordReply(BackendId(1), 7, fixture.time.now());
-    cr_expect(!fixture.state.backends.isUsable(fixture.state.backends.row(BackendId(1)), fixture.time.now()), "a reply of another incarnation proves nothing");
+    cr_expect(!fixture.state.backends.isUsable(fixture.state.backends.row(BackendId(1)), fixture.time.now()),
+        "a reply of another incarnation does not renew the lease");
 }
 
-Test(BackendTable, takesNothingFromAnAnnouncementOlderThanALease)
+Test(BackendTable, announcementOlderThanALeaseIsExpired)
 {
     EntryFixture fixture;
     fixture.advance(Core::seconds(10));
@@ -82,45 +83,47 @@
     cr_expect(!firstIsUsable(fixture));
 }
 
-Test(BackendTable, leavesANameWithItsLivingHolder)
+Test(BackendTable, nameIsTakenOverOnlyAfterTheLeaseOfItsHolder)
 {
     EntryFixture fixture;
     fixture.state.backends.recordReply(BackendId(0), 1, fixture.time.now());
-    auto thief = fixture.announcement(0, 0, 1, "map-1");
-    thief.incarnation = 99;
-    thief.port = 6666;
-    cr_expect_eq(static_cast<int>(fixture.state.backends.announce(thief, Core::Duration(0), fixture.time.now())), static_cast<int>(AnnounceOutcome::NameTaken));
+    auto claimant = fixture.announcement(0, 0, 1, "map-1");
+    claimant.incarnation = 99;
+    claimant.port = 6666;
+    cr_expect_eq(
+        static_cast<int>(fixture.state.backends.announce(claimant, Core::Duration(0), fixture.time.now())), static_cast<int>(AnnounceOutcome::NameTaken));
     cr_expect_neq(firstRow(fixture).announcement.port, 6666);
     fixture.advance(Core::seconds(4));
-    cr_expect_eq(static_cast<int>(fixture.state.backends.announce(thief, Core::Duration(0), fixture.time.now())), static_cast<int>(AnnounceOutcome::Accepted));
+    cr_expect_eq(
+        static_cast<int>(fixture.state.backends.announce(claimant, Core::Duration(0), fixture.time.now())), static_cast<int>(AnnounceOutcome::Accepted));
 }
 
-Test(RegistryRefresher, asksSilentBackendServersDirectly)
+Test(RegistryRefresher, backendsWithoutAnnouncementsAreProbed)
 {
     EntryFixture fixture;
-    std::vector<Entry::RegistryRefresher::AnswerHook> asked;
+    std::vector<Entry::RegistryRefresher::AnswerHook> probes;
     Entry::RegistryRefresher refresher(
         {},
         fixture.state.backends,
-        [&asked](const Core::Endpoint &, Entry::RegistryRefresher::AnswerHook done) {
-            asked.push_back(std::move(done));
+        [&probes](const Core::Endpoint &, Entry::RegistryRefresher::AnswerHook done) {
+            probes.push_back(std::move(done));
         },
         fixture.time.timers());
     fixture.advance(Core::milliseconds(1000));
-    cr_expect(asked.empty(), "nobody is asked while announcements are fresh");
+    cr_expect(probes.empty(), "no backend server is probed while its lease is far from expiry");
     fixture.advance(Core::milliseconds(1500));
-    cr_assert_eq(asked.size(), 8U, "%zu", asked.size());
+    cr_assert_eq(probes.size(), 8U, "%zu", probes.size());
     const auto wrongName = fixture.announcement(3, 1, 1, "map-1");
-    asked[0](wrongName);
-    asked[1](fixture.announcement(0, 1, 1, "map-1"));
+    probes[0](wrongName);
+    probes[1](fixture.announcement(0, 1, 1, "map-1"));
     fixture.advance(Core::milliseconds(1000));
-    cr_expect(!firstIsUsable(fixture), "an answer under another name renews nothing");
+    cr_expect(!firstIsUsable(fixture), "a reply under another name does not renew the lease");
     cr_expect(fixture.state.backends.isUsable(fixture.state.backends.row(BackendId(1)), fixture.time.now()));
 }
 
-// ---- Announcements from outside
+// ---- Announcements in JSON
 
-Test(Announcement, survivesTheWayThroughJson)
+Test(Announcement, jsonRoundTripKeepsEveryMember)
 {
     EntryFixture fixture;
     const auto announcement = fixture.announcement(2, 1, 7, "map-1");
@@ -129,7 +132,7 @@
     cr_expect(read.value() == announcement);
 }
 
-Test(Announcement, refusesEveryMissingOrSpoiltMember)
+Test(Announcement, missingOrInvalidMembersAreRejected)
 {
     EntryFixture fixture;
     const auto good = Entry::announcementToJson(fixture.announcement(2, 1, 7, "map-1"));
@@ -137,20 +140,20 @@
         auto missing = good;
         missing.erase(member.key());
         cr_expect(!Entry::announcementFromJson(missing).has_value(), "without %s", member.key().c_str());
-        for (const auto &spoilt :
+        for (const auto &invalid :
             {nlohmann::json(), nlohmann::json(-1), nlohmann::json(1e300), nlohmann::json("x\ny"), nlohmann::json::array({1}), nlohmann::json::object()}) {
             auto changed = good;
-            changed[member.key()] = spoilt;
+            changed[member.key()] = invalid;
             const auto read = Entry::announcementFromJson(changed);
-            const bool stillText = spoilt.is_string() && (member.key() == "service" || member.key() == "replica" || member.key() == "zone");
-            cr_expect_eq(read.has_value(), stillText, "%s = %s", member.key().c_str(), spoilt.dump().c_str());
+            const bool stillText = invalid.is_string() && (member.key() == "service" || member.key() == "replica" || member.key() == "zone");
+            cr_expect_eq(read.has_value(), stillText, "%s = %s", member.key().c_str(), invalid.dump().c_str());
         }
     }
 }
 
 // ---- Snapshots
 
-Test(SnapshotChooser, staysOnTheOldVersionUntilTheNewOneCoversEveryShard)
+Test(SnapshotChooser, newVersionIsChosenOnceItHasCoverageAndCapacity)
 {
     EntryFixture fixture;
     const auto chosen = [&fixture] {
@@ -165,14 +168,14 @@
             newer.version = 2;
             both.snapshots.push_back(newer);
             fixture.announce(both);
-            const bool headroom = shard * 2 + replica + 1 >= 6 && shard == 3;
-            cr_expect_eq(chosen()->key.version, headroom ? 2 : 1, "shard %d replica %d", shard, replica);
+            const bool hasRequiredCapacity = shard * 2 + replica + 1 >= 6 && shard == 3;
+            cr_expect_eq(chosen()->key.version, hasRequiredCapacity ? 2 : 1, "shard %d replica %d", shard, replica);
             cr_expect(!last || chosen()->key.version == 2);
         }
     }
 }
 
-Test(SnapshotChooser, takesACoverableVersionWithoutHeadroomAfterSomePatience)
+Test(SnapshotChooser, coverableVersionWithoutCapacityIsChosenAfterTheSwitchDelay)
 {
     EntryFixture fixture;
     const auto version = [&fixture] {
@@ -193,7 +196,7 @@
     }
 }
 
-Test(SnapshotChooser, neverMixesTwoMapsOfOneVersion)
+Test(SnapshotChooser, shardMapsOfOneVersionAreNotMixed)
 {
     EntryFixture fixture;
     for (std::int32_t shard = 0; shard < 4; ++shard) {
@@ -206,7 +209,7 @@
     cr_expect_eq(fixture.state.snapshots.conflictingVersions(EntryFixture::service()).size(), 1U);
 }
 
-Test(SnapshotChooser, honoursTheSnapshotThatACallerHasSeen)
+Test(SnapshotChooser, minimumVersionOfTheCallerIsRespected)
 {
     EntryFixture fixture;
     const auto choose = [&fixture](std::int64_t minimum) {
@@ -216,12 +219,12 @@
     cr_expect(choose(2) == nullptr);
 }
 
-// ---- Small parts
+// ---- Latency digest, admission, active configuration
 
-Test(LatencyDigest, findsQuantilesWithinABucket)
+Test(LatencyDigest, quantileIsWithinOneBucketOfTheValue)
 {
     Core::LatencyDigest digest;
-    cr_expect_eq(digest.quantile(0.5, Core::milliseconds(7)).count(), 7000, "the fallback, while too little is known");
+    cr_expect_eq(digest.quantile(0.5, Core::milliseconds(7)).count(), 7000, "the fallback is returned while there are too few samples");
     for (int value = 1; value <= 1000; ++value) {
         digest.add(Core::Duration(value * 100));
     }
@@ -231,19 +234,19 @@
     cr_expect_lt(digest.count(), 10.0);
 }
 
-Test(Admission, refusesWhatCannotBeInTimeAndLetsUrgentOnesPass)
+Test(Admission, requestsThatWouldMissTheirDeadlineAreRefused)
 {
     Entry::Admission admission;
     const auto service = EntryFixture::service();
     Entry::AdmissionView view{.parallelRequests = 4.0, .typicalLatency = Core::milliseconds(50), .deadline = Core::milliseconds(300), .priority = 3};
     for (int count = 0; count < 40; ++count) {
-        admission.entered(service, 3);
+        admission.requestStarted(service, 3);
     }
     cr_expect(admission.refuse(service, view).has_value());
     view.priority = 0;
-    cr_expect(!admission.refuse(service, view).has_value(), "the less urgent do not stand in the way");
+    cr_expect(!admission.refuse(service, view).has_value(), "less urgent requests do not count");
     for (int count = 0; count < 40; ++count) {
-        admission.left(service, 3);
+        admission.requestFinished(service, 3);
     }
     view.priority = 3;
     cr_expect(!admission.refuse(service, view).has_value());
@@ -261,25 +264,25 @@
     return reply;
 }
 
-Test(ActiveConfiguration, countsTheLeaseFromTheQuestionAndNeverGoesBack)
+Test(ActiveConfiguration, leaseStartsAtTheRequestAndRevisionNeverDecreases)
 {
     Entry::ActiveConfiguration activeConfiguration;
-    const Core::Instant asked(Core::seconds(10));
-    cr_expect(!activeConfiguration.isFresh(asked), "a fresh process serves nothing");
+    const Core::Instant sentAt(Core::seconds(10));
+    cr_expect(!activeConfiguration.isFresh(sentAt), "a new process has no valid lease");
     auto unconfirmed = makeReply(3, true);
     unconfirmed.confirmed = false;
-    cr_expect(!activeConfiguration.take(unconfirmed, asked));
-    cr_expect(activeConfiguration.take(makeReply(3, true), asked));
-    cr_expect(activeConfiguration.isFresh(asked + Core::milliseconds(4999)));
-    cr_expect(!activeConfiguration.isFresh(asked + Core::milliseconds(5000)));
-    cr_expect(!activeConfiguration.take(makeReply(2, true), asked + Core::seconds(100)), "an older revision");
-    cr_expect(!activeConfiguration.isFresh(asked + Core::seconds(100)), "which renews nothing either");
-    cr_expect(!activeConfiguration.take(makeReply(4, false), asked), "a newer revision without its content");
+    cr_expect(!activeConfiguration.take(unconfirmed, sentAt));
+    cr_expect(activeConfiguration.take(makeReply(3, true), sentAt));
+    cr_expect(activeConfiguration.isFresh(sentAt + Core::milliseconds(4999)));
+    cr_expect(!activeConfiguration.isFresh(sentAt + Core::milliseconds(5000)));
+    cr_expect(!activeConfiguration.take(makeReply(2, true), sentAt + Core::seconds(100)), "an older revision is not applied");
+    cr_expect(!activeConfiguration.isFresh(sentAt + Core::seconds(100)), "an older revision does not renew the lease");
+    cr_expect(!activeConfiguration.take(makeReply(4, false), sentAt), "a newer revision without its content is not applied");
     auto delta = makeReply(4, false);
     delta.__set_delta(Protocol::ConfigurationDelta());
     delta.delta.fromRevision = 2;
-    cr_expect(!activeConfiguration.take(delta, asked), "a delta from another revision");
+    cr_expect(!activeConfiguration.take(delta, sentAt), "a delta from another revision is not applied");
     delta.delta.fromRevision = 3;
-    cr_expect(activeConfiguration.take(delta, asked));
+    cr_expect(activeConfiguration.take(delta, sentAt));
     cr_expect_eq(activeConfiguration.revision().value(), 4);
 }
