--- a/Libraries/LibEntry/ActiveConfiguration.cpp
+++ b/Libraries/LibEntry/ActiveConfiguration.cpp
@@ -12,7 +12,7 @@
 namespace Entry
 {
 
-bool ActiveConfiguration::take(const Protocol::FollowReply &reply, Core::Instant sentAt)
+bool ActiveConfiguration::apply(const Protocol::FollowReply &reply, Core::Instant sentAt)
 {
     if (!reply.confirmed || Core::Revision(reply.revision) < this->currentRevision) {
         // L3. The revision never decreases, whichever control instance replies.
--- a/Libraries/LibEntry/ActiveConfiguration.h
+++ b/Libraries/LibEntry/ActiveConfiguration.h
@@ -24,7 +24,7 @@
 {
 public:
     /** Applies the reply to a request that was sent at `sentAt`. Returns false if it is unconfirmed, older than the active revision, or lacks the content. */
-    bool take(const Protocol::FollowReply &reply, Core::Instant sentAt);
+    bool apply(const Protocol::FollowReply &reply, Core::Instant sentAt);
 
     /** Whether requests may be served with this configuration now. */
     [[nodiscard]] bool isFresh(Core::Instant now) const;
@@ -35,7 +35,7 @@
     [[nodiscard]] Core::Revision revision() const;
     [[nodiscard]] const Protocol::Configuration &configuration() const;
 
-    /** The service's declaration, or nullptr. Valid until the next take(). */
+    /** The service's declaration, or nullptr. Valid until the next apply(). */
     [[nodiscard]] const Protocol::ServiceDeclaration *service(const Core::ServiceName &name) const;
     [[nodiscard]] const Protocol::UrgencyClass *urgencyClass(const std::string &name) const;
 
--- a/Libraries/LibEntry/ConfigurationFollower.cpp
+++ b/Libraries/LibEntry/ConfigurationFollower.cpp
@@ -45,7 +45,7 @@
 void ConfigurationFollower::handleReply(const Core::Result<Protocol::FollowReply> &reply, Core::Instant sentAt)
 {
     const auto before = this->activeConfiguration.revision();
-    const bool usable = reply.has_value() && this->activeConfiguration.take(reply.value(), sentAt);
+    const bool usable = reply.has_value() && this->activeConfiguration.apply(reply.value(), sentAt);
     if (!usable) {
         ++this->failures;
         this->control.tryAnotherInstance(reply.has_value() ? reply->leaderAddress : std::string());
--- a/Libraries/LibEntry/EntryNode.cpp
+++ b/Libraries/LibEntry/EntryNode.cpp
@@ -318,7 +318,7 @@
 
 void EntryNode::finishDrain()
 {
-    this->state.draining = this->timers.now() - this->drainRequestedAt.value() >= this->options.balancerNotice;
+    this->state.draining = this->timers.now() - this->drainRequestedAt.value() >= this->options.drainNotice;
     if (!this->state.draining || this->queries.activeCount() > 0 || this->actions.activeCount() > 0) {
         return;
     }
--- a/Libraries/LibEntry/EntryNode.h
+++ b/Libraries/LibEntry/EntryNode.h
@@ -33,7 +33,7 @@
     std::vector<Core::Endpoint> controlInstances;
     std::int64_t incarnation{0};
     /** During a planned stop, requests are accepted for this long after /readyz reports not ready, so that the load balancer can notice. */
-    Core::Duration balancerNotice{Core::milliseconds(1000)};
+    Core::Duration drainNotice{Core::milliseconds(1000)};
 };
 
 /** Connects the parts of an entry instance. */
@@ -55,7 +55,7 @@
 
     [[nodiscard]] PeerRelay &relay();
 
-    /** Begins a planned stop: reports not ready, refuses new requests after balancerNotice, and calls `stopped` once no requests are active. */
+    /** Begins a planned stop: reports not ready, refuses new requests after drainNotice, and calls `stopped` once no requests are active. */
     void drain(std::function<void()> stopped);
 
     /** Called when an operator requests a planned stop of the process. */
@@ -87,7 +87,7 @@
     PeerRelay peerRelay;
     RegistryRefresher refresher;
     std::function<void()> stopped;
-    // Set when a planned stop begins. state.draining is set balancerNotice later, so that the load balancer can notice.
+    // Set when a planned stop begins. state.draining is set drainNotice later, so that the load balancer can notice.
     std::optional<Core::Instant> drainRequestedAt;
     Core::TimerSubscription maintenanceTimer;
     Core::TimerSubscription drainTimer;
--- a/Libraries/LibEntry/HedgePolicy.cpp
+++ b/Libraries/LibEntry/HedgePolicy.cpp
@@ -22,7 +22,7 @@
     if (this->options.fixedDelay.has_value()) {
         return this->options.fixedDelay;
     }
-    return std::max(this->options.minimumDelay, latencies.quantile(this->options.quantile, this->options.unknownDelay));
+    return std::max(this->options.minimumDelay, latencies.quantile(this->options.quantile, this->options.fallbackDelay));
 }
 
 void HedgePolicy::recordFirstAttempt()
--- a/Libraries/LibEntry/HedgePolicy.h
+++ b/Libraries/LibEntry/HedgePolicy.h
@@ -26,7 +26,7 @@
     std::optional<Core::Duration> fixedDelay;
     Core::Duration minimumDelay{Core::milliseconds(2)};
     /** Hedge delay until enough latencies have been recorded. */
-    Core::Duration unknownDelay{Core::milliseconds(30)};
+    Core::Duration fallbackDelay{Core::milliseconds(30)};
     LoadBudgetOptions hedgeBudget{.tokensPerRequest = 0.05, .burst = 20.0};
     LoadBudgetOptions retryBudget{.tokensPerRequest = 0.10, .burst = 50.0};
 };
--- a/Tests/LibEntry/TestRegistry.cpp
+++ b/Tests/LibEntry/TestRegistry.cpp
@@ -271,18 +271,18 @@
     cr_expect(!activeConfiguration.isFresh(sentAt), "a new process has no valid lease");
     auto unconfirmed = makeReply(3, true);
     unconfirmed.confirmed = false;
-    cr_expect(!activeConfiguration.take(unconfirmed, sentAt));
-    cr_expect(activeConfiguration.take(makeReply(3, true), sentAt));
+    cr_expect(!activeConfiguration.apply(unconfirmed, sentAt));
+    cr_expect(activeConfiguration.apply(makeReply(3, true), sentAt));
     cr_expect(activeConfiguration.isFresh(sentAt + Core::milliseconds(4999)));
     cr_expect(!activeConfiguration.isFresh(sentAt + Core::milliseconds(5000)));
-    cr_expect(!activeConfiguration.take(makeReply(2, true), sentAt + Core::seconds(100)), "an older revision is not applied");
+    cr_expect(!activeConfiguration.apply(makeReply(2, true), sentAt + Core::seconds(100)), "an older revision is not applied");
     cr_expect(!activeConfiguration.isFresh(sentAt + Core::seconds(100)), "an older revision does not renew the lease");
-    cr_expect(!activeConfiguration.take(makeReply(4, false), sentAt), "a newer revision without its content is not applied");
+    cr_expect(!activeConfiguration.apply(makeReply(4, false), sentAt), "a newer revision without its content is not applied");
     auto delta = makeReply(4, false);
     delta.__set_delta(Protocol::ConfigurationDelta());
     delta.delta.fromRevision = 2;
-    cr_expect(!activeConfiguration.take(delta, sentAt), "a delta from another revision is not applied");
+    cr_expect(!activeConfiguration.apply(delta, sentAt), "a delta from another revision is not applied");
     delta.delta.fromRevision = 3;
-    cr_expect(activeConfiguration.take(delta, sentAt));
+    cr_expect(activeConfiguration.apply(delta, sentAt));
     cr_expect_eq(activeConfiguration.revision().value(), 4);
 }
