--- a/Libraries/LibEntry/ConfigurationFollower.cpp
+++ b/Libraries/LibEntry/ConfigurationFollower.cpp
@@ -34,9 +34,9 @@
     request.incarnation = this->options.incarnation;
     request.revision = this->activeConfiguration.revision().value();
     const Core::Instant sentAt = this->timers.now();
-    const std::weak_ptr<int> stillAlive = this->alive;
-    this->control.follow(request, [this, stillAlive, sentAt](const Core::Result<Protocol::FollowReply> &reply) {
-        if (!stillAlive.expired()) {
+    const std::weak_ptr<int> lifetime = this->lifetimeToken;
+    this->control.follow(request, [this, lifetime, sentAt](const Core::Result<Protocol::FollowReply> &reply) {
+        if (!lifetime.expired()) {
             this->handleReply(reply, sentAt);
         }
     });
--- a/Libraries/LibEntry/ConfigurationFollower.h
+++ b/Libraries/LibEntry/ConfigurationFollower.h
@@ -43,7 +43,8 @@
     Core::TimerService &timers;
     int failures{0};
     Core::TimerSubscription next;
-    std::shared_ptr<int> alive{std::make_shared<int>(0)};
+    // Hooks of outstanding calls hold this weakly, so that a reply after the destruction of this object is ignored.
+    std::shared_ptr<int> lifetimeToken{std::make_shared<int>(0)};
 };
 
 }
--- a/Libraries/LibEntry/Dispatcher.cpp
+++ b/Libraries/LibEntry/Dispatcher.cpp
@@ -227,7 +227,7 @@
         result.message = "no replica had free capacity before the deadline";
         subRequest.done(SubRequestOutcome{.result = std::move(result), .backend = std::nullopt, .latency = Core::Duration(0)});
     }
-    // Ejections end and announcements arrive without a reply to this instance, so all queues are tried again.
+    // Leases and ejections end without a reply that would drain a queue, so all queues are tried again here.
     std::vector<QueueKey> keys;
     for (const auto &[key, queue] : this->queues) {
         keys.push_back(key);
--- a/Libraries/LibEntry/PeerRelay.cpp
+++ b/Libraries/LibEntry/PeerRelay.cpp
@@ -106,7 +106,7 @@
 void PeerRelay::sendTo(const std::shared_ptr<Rpc::RpcChannel> &channel, const Protocol::RelayRequest &request)
 {
     ++this->counts.sent;
-    const std::weak_ptr<int> stillAlive = this->alive;
+    const std::weak_ptr<int> lifetime = this->lifetimeToken;
     Rpc::call<Client, Protocol::RelayReply>(
         channel,
         [&request](Client &client, const std::function<void(Client *)> &callback) {
@@ -115,8 +115,8 @@
         [](Client &client, Protocol::RelayReply &reply) {
             client.recv_relay(reply);
         },
-        [this, stillAlive](const Core::Result<Protocol::RelayReply> &reply) {
-            if (stillAlive.expired()) {
+        [this, lifetime](const Core::Result<Protocol::RelayReply> &reply) {
+            if (lifetime.expired()) {
                 return;
             }
             if (reply.has_value()) {
--- a/Libraries/LibEntry/PeerRelay.h
+++ b/Libraries/LibEntry/PeerRelay.h
@@ -86,7 +86,8 @@
     PeerRelayCounters counts;
     Core::TimerSubscription roundTimer;
     Core::TimerSubscription antiEntropyTimer;
-    std::shared_ptr<int> alive{std::make_shared<int>(0)};
+    // Hooks of outstanding calls hold this weakly, so that a reply after the destruction of this object is ignored.
+    std::shared_ptr<int> lifetimeToken{std::make_shared<int>(0)};
 };
 
 /** Serves the calls of other entry instances. */
--- a/Libraries/LibEntry/RegistryRefresher.cpp
+++ b/Libraries/LibEntry/RegistryRefresher.cpp
@@ -45,9 +45,9 @@
     ++this->sent;
     this->inFlight.insert(backend.id);
     const Core::Endpoint endpoint{.address = backend.announcement.address, .port = static_cast<std::uint16_t>(backend.announcement.port)};
-    const std::weak_ptr<int> stillAlive = this->alive;
-    this->probe(endpoint, [this, id = backend.id, stillAlive](const Core::Result<Protocol::Announcement> &announcement) {
-        if (!stillAlive.expired()) {
+    const std::weak_ptr<int> lifetime = this->lifetimeToken;
+    this->probe(endpoint, [this, id = backend.id, lifetime](const Core::Result<Protocol::Announcement> &announcement) {
+        if (!lifetime.expired()) {
             this->handleReply(id, announcement);
         }
     });
--- a/Libraries/LibEntry/RegistryRefresher.h
+++ b/Libraries/LibEntry/RegistryRefresher.h
@@ -56,7 +56,8 @@
     std::set<BackendId> inFlight;
     std::uint64_t sent{0};
     Core::TimerSubscription timer;
-    std::shared_ptr<int> alive{std::make_shared<int>(0)};
+    // Hooks of outstanding calls hold this weakly, so that a reply after the destruction of this object is ignored.
+    std::shared_ptr<int> lifetimeToken{std::make_shared<int>(0)};
 };
 
 }
--- a/Libraries/LibEntry/ReplicaSelector.cpp
+++ b/Libraries/LibEntry/ReplicaSelector.cpp
@@ -68,7 +68,7 @@
         return this->expectedMicroseconds(table.row(first), now) < this->expectedMicroseconds(table.row(second), now);
     });
     const double expected = this->expectedMicroseconds(table.row(*best), now);
-    const char *basis = healthy.empty() ? "least bad of the ejected" : "lowest expected latency";
+    const char *basis = healthy.empty() ? "ejected replica with lowest expected latency" : "lowest expected latency";
     return ReplicaChoice{.id = *best, .reason = fmt::format("{} of {}: {:.1f} ms", basis, candidates.size(), expected / 1000.0)};
 }
 
