--- a/Libraries/LibEntry/ConfigurationFollower.cpp
+++ b/Libraries/LibEntry/ConfigurationFollower.cpp
@@ -17,26 +17,26 @@
     , control(control)
     , timers(timers)
     , next(timers.once(Core::Duration(0), [this](Core::Instant) {
-        this->ask();
+        this->sendRequest();
     }))
 {
 }
 
-int ConfigurationFollower::failuresInARow() const
+int ConfigurationFollower::consecutiveFailures() const
 {
     return this->failures;
 }
 
-void ConfigurationFollower::ask()
+void ConfigurationFollower::sendRequest()
 {
     Protocol::FollowRequest request;
     request.entryName = this->options.entryName.value();
     request.incarnation = this->options.incarnation;
     request.revision = this->activeConfiguration.revision().value();
     const Core::Instant sentAt = this->timers.now();
-    const std::weak_ptr<int> stillAlive = this->alive;
-    this->control.follow(request, [this, stillAlive, sentAt](const Core::Result<Protocol::FollowReply> &reply) {
-        if (!stillAlive.expired()) {
+    const std::weak_ptr<int> lifetime = this->lifetimeToken;
+    this->control.follow(request, [this, lifetime, sentAt](const Core::Result<Protocol::FollowReply> &reply) {
+        if (!lifetime.expired()) {
             this->handleReply(reply, sentAt);
         }
     });
@@ -45,7 +45,7 @@
 void ConfigurationFollower::handleReply(const Core::Result<Protocol::FollowReply> &reply, Core::Instant sentAt)
 {
     const auto before = this->activeConfiguration.revision();
-    const bool usable = reply.has_value() && this->activeConfiguration.take(reply.value(), sentAt);
+    const bool usable = reply.has_value() && this->activeConfiguration.apply(reply.value(), sentAt);
     if (!usable) {
         ++this->failures;
         this->control.tryAnotherInstance(reply.has_value() ? reply->leaderAddress : std::string());
@@ -56,11 +56,11 @@
         Core::logEvent(
             Core::LogLevel::Information, "configuration.in_force", {{"revision", this->activeConfiguration.revision().value()}, {"was", before.value()}});
     }
-    // A new revision is confirmed to the control instances at once, so that operators see it in force.
+    // The next request is sent at once after a new revision became active. It reports the revision, so that operators see that it is active here.
     const bool confirmSoon = usable && this->activeConfiguration.revision() != before;
-    const auto pause = confirmSoon ? Core::Duration(0) : usable ? this->options.period : this->options.retryPeriod;
-    this->next = this->timers.once(pause, [this](Core::Instant) {
-        this->ask();
+    const auto delay = confirmSoon ? Core::Duration(0) : usable ? this->options.period : this->options.retryPeriod;
+    this->next = this->timers.once(delay, [this](Core::Instant) {
+        this->sendRequest();
     });
 }
 
