--- a/Tests/LibControl/TestControlRandomized.cpp
+++ b/Tests/LibControl/TestControlRandomized.cpp
@@ -207,7 +207,7 @@
         request.revision = entry.activeConfiguration.revision().value();
         const Core::Instant sentAt = this->cluster.time.now();
         node.follow(request, [&entry, sentAt](const Protocol::FollowReply &reply) {
-            static_cast<void>(entry.activeConfiguration.take(reply, sentAt));
+            static_cast<void>(entry.activeConfiguration.apply(reply, sentAt));
         });
     }
 
