--- a/Libraries/LibGateway/RelayPlan.h
+++ b/Libraries/LibGateway/RelayPlan.h
@@ -91,7 +91,7 @@
 namespace RelayHeader
 {
 /** Numbers with commas between them: the fields of RelayParameters in their order, times in milliseconds. */
-constexpr const char *Terms = "Crankrudder-Part-Terms";
+constexpr const char *Parameters = "Crankrudder-Part-Terms";
 /** The services that are asked for, with commas between them. */
 constexpr const char *Shards = "Crankrudder-Shards";
 /** A record in hexadecimal: the answer needs none that is less. May be left out. */
@@ -141,7 +141,7 @@
 [[nodiscard]] std::optional<RelayParameters> extractRelayParameters(Wire::Headers &headers);
 
 /** Takes the name of a send out of a request's headers; empty when there is none. */
-[[nodiscard]] std::string takeSendName(Wire::Headers &headers);
+[[nodiscard]] std::string extractSendId(Wire::Headers &headers);
 
 /** Adds the parameters to a request's headers. */
 void addRelayParameters(Wire::Headers &headers, const RelayParameters &parameters);
--- a/Libraries/LibGateway/RequestSettings.h
+++ b/Libraries/LibGateway/RequestSettings.h
@@ -15,11 +15,11 @@
 /** All of them hold for every route; what differs by route is in the declaration. */
 struct RequestSettings {
     /** The part of the target latency that is kept for the way back to the caller and for a new connection of it. */
-    double returnShare{0.13};
+    double returnReserveShare{0.13};
     /** … but at least this long: four times the one-way time of the farthest callers that we know of (3 ms), and some for both programs. */
-    Core::Duration returnFloor{Core::milliseconds(16)};
+    Core::Duration minimumReturnReserve{Core::milliseconds(16)};
     /** The processor time of a whole core that an answer takes from its target on: merging, writing, and what waits at the same time. */
-    Core::Duration returnWork{Core::milliseconds(1)};
+    Core::Duration returnProcessorTime{Core::milliseconds(1)};
     /** An attempt without a reply is hedged after this many times the usual latency … */
     double hedgeFactor{2.2};
     /** … and at least this long, which is about what a round trip to the farthest region takes. */
@@ -31,7 +31,7 @@
     /** Given to the caller as the time to come back after when nothing ran. */
     Core::Duration retryAfter{Core::milliseconds(150)};
     /** The same while this gateway does not know yet what is declared: about what is left of a start. Callers come back once, so sooner would be in vain. */
-    Core::Duration comeBackAfterStart{Core::milliseconds(600)};
+    Core::Duration retryAfterStartup{Core::milliseconds(600)};
     /** Kept back from the time that a request may take, so that its answer is out before the time is over. */
     Core::Duration answerReserve{Core::milliseconds(20)};
     /** The part of the target latency that a single request waits for room before it is refused. */
@@ -46,6 +46,6 @@
 };
 
 /** The return floor on a part of a core, which takes longer for the same work. A quarter of a core is in the floor itself, which was measured there. */
-[[nodiscard]] Core::Duration returnFloorFor(const RequestSettings &settings, double processorShare);
+[[nodiscard]] Core::Duration minimumReturnReserveFor(const RequestSettings &settings, double processorShare);
 
 }
--- a/Libraries/LibGateway/RoutedRequest.cpp
+++ b/Libraries/LibGateway/RoutedRequest.cpp
@@ -44,7 +44,7 @@
 // How long after its arrival an answer should leave to reach the caller in time.
 static Core::Duration timeToTarget(const RequestSettings &settings, const Fleet::Route &route)
 {
-    const auto reserve = std::max(scaled(route.targetLatency, settings.returnShare), settings.returnFloor);
+    const auto reserve = std::max(scaled(route.targetLatency, settings.returnReserveShare), settings.minimumReturnReserve);
     return std::max(route.targetLatency - reserve, route.targetLatency / 2);
 }
 
--- a/Libraries/LibGateway/SlackShares.cpp
+++ b/Libraries/LibGateway/SlackShares.cpp
@@ -38,7 +38,7 @@
 {
     // S2
     if (now - this->lastOwned >= 2 * this->options.window) {
-        return this->shareOfOther();
+        return this->shareOfUnshardedService();
     }
     const double equalPart = (1.0 - this->options.ownersPart) / this->gateways;
     // S1
@@ -47,11 +47,11 @@
     if (!isOwner) {
         return equalPart;
     }
-    const auto owners = this->options.ownersInZone * std::max<std::size_t>(1, zones);
+    const auto owners = this->options.ownersPerZone * std::max<std::size_t>(1, zones);
     return equalPart + this->options.ownersPart / static_cast<double>(owners);
 }
 
-double SlackShares::shareOfOther() const
+double SlackShares::shareOfUnshardedService() const
 {
     return 1.0 / this->gateways;
 }
--- a/Libraries/LibGateway/SlackShares.h
+++ b/Libraries/LibGateway/SlackShares.h
@@ -30,7 +30,7 @@
     /** The owners' part of it. The rest is for all gateways alike, since each may have to ask for itself what an owner failed to. */
     double ownersPart{0.5};
     /** Owners of a cell in one zone that share it: as many as are asked at a search in six seconds for each of 300 gateways. */
-    std::size_t ownersInZone{4};
+    std::size_t ownersPerZone{4};
     /** The window that the slack is counted in. */
     Core::Duration window{Core::seconds(10)};
 };
@@ -56,7 +56,7 @@
     [[nodiscard]] double shareOfShard(const CellKey &cell, std::size_t zones, bool inOwnZone, Core::Instant now) const;
 
     /** The part for a service that is no shard. */
-    [[nodiscard]] double shareOfOther() const;
+    [[nodiscard]] double shareOfUnshardedService() const;
 
 private:
     SlackShareOptions options;
