--- a/Libraries/LibGateway/FanOutRequest.cpp
+++ b/Libraries/LibGateway/FanOutRequest.cpp
@@ -16,13 +16,13 @@
 namespace Gateway
 {
 
-// A hedge goes out for one send that may have run.
+// A hedged shard has one earlier send that may have run.
 static constexpr int HedgedExecutions = 1;
-// A single hedge is sent from here, where a part saves nothing: unless the reply is large and most of it need not come.
-static constexpr std::size_t FewestHedgesTogether = 2;
-// Larger than what a part adds to a reply.
+// A single hedge is sent directly, because a part of one shard saves no bytes. The exception is a large reply of which most records are not needed.
+static constexpr std::size_t MinimumHedgesInPart = 2;
+// Size from which on a reply is larger than the overhead of a part.
 static constexpr std::size_t LargeReplyBytes = 400;
-// How many times the usual latency a backend server is taken to need that another gateway got no answer from before its part left.
+// Latency that is recorded for a backend server that did not answer another gateway before its part was sent, as a multiple of the typical latency.
 static constexpr double MissedRatio = 8.0;
 
 FanOutRequest::FanOutRequest(RequestContext context,
@@ -30,8 +30,8 @@
     const Fleet::Route &route,
     CallerRequest request,
     RelayPlan plan,
-    RequestOrigin asker)
-    : RoutedRequest(context, std::move(routes), route, std::move(request)), plan(std::move(plan)), asker(asker)
+    RequestOrigin origin)
+    : RoutedRequest(context, std::move(routes), route, std::move(request)), plan(std::move(plan)), origin(origin)
 {
     this->parameters.workLimit = this->context.workLimit;
 }
@@ -40,7 +40,7 @@
 
 bool FanOutRequest::canBeServed() const
 {
-    // What another gateway is asked for was found to have a backend server when the search was divided.
+    // Shards in parts had an eligible backend server when the search was divided.
     std::size_t shards = 0;
     for (const auto &part : this->plan.parts) {
         shards += part.shards.size();
@@ -48,13 +48,13 @@
     for (const auto &shard : this->plan.direct) {
         shards += this->context.pool->hasEligible(shard, this->parameters.allowedRegions) ? 1 : 0;
     }
-    return shards >= this->needed();
+    return shards >= this->requiredShards();
 }
 
 void FanOutRequest::startCalls()
 {
-    if (this->asker == RequestOrigin::Caller && !this->canBeServed()) {
-        // Nothing is asked, so check() refuses it as not run, at once.
+    if (this->origin == RequestOrigin::Caller && !this->canBeServed()) {
+        // Nothing is sent, so completeIfPossible() refuses the search immediately as not run.
         return;
     }
     for (const auto &shard : this->plan.direct) {
@@ -68,14 +68,14 @@
             this->addRow(shard);
         }
     }
-    // NOTE: Parts first, since they have the longer way.
+    // NOTE: Parts are sent first, because they take longer.
     for (std::size_t number = 0; number < this->plan.parts.size(); ++number) {
         this->startPart(this->plan.parts[number], std::move(rowNumbers[number]));
     }
     const bool isHedge = this->context.relayParameters.has_value() && this->context.relayParameters->isHedge;
     for (std::size_t number = 0; number < this->plan.direct.size(); ++number) {
         if (isHedge) {
-            this->startHedged(this->rows[number]);
+            this->startHedgeForGateway(this->rows[number]);
         } else {
             this->startDirect(this->rows[number], this->plan.before);
         }
@@ -84,26 +84,27 @@
 
 void FanOutRequest::addRow(const Core::ServiceName &shard)
 {
-    this->rows.push_back(Row{.shard = shard, .call = nullptr, .part = nullptr, .inPart = false, .lost = {}});
+    this->rows.push_back(Row{.shard = shard, .call = nullptr, .part = nullptr, .inPart = false, .remoteAttempts = {}});
 }
 
-// `before` is what another gateway did for the shard.
+// `before` describes the attempts of other gateways for the shard.
 void FanOutRequest::startDirect(Row &row, const Protocol::MissingShard &before)
 {
     row.call = this->makeCall(row.shard);
-    row.call->countEarlier(before.executions, before.sends, before.counted);
+    row.call->recordEarlierAttempts(before.executions, before.sends, before.counted);
     this->startCall(row);
 }
 
-// For a gateway whose own send is late. It is asked for here only where it is near, since the asker knows the far ones as well as this one does.
-void FanOutRequest::startHedged(Row &row)
+// Runs a hedge for another gateway whose own send is late. The hedge is sent only within this region, since the requesting gateway can reach other regions as
+// well as this one.
+void FanOutRequest::startHedgeForGateway(Row &row)
 {
-    row.lost.executions = HedgedExecutions;
+    row.remoteAttempts.executions = HedgedExecutions;
     if (!this->context.pool->isGoodInRegion(row.shard, this->parameters.typicalLatency, this->parameters.allowedRegions)) {
         return;
     }
     row.call = this->makeCall(row.shard);
-    row.call->countPaidRepeat(HedgedExecutions);
+    row.call->recordConsumedRepeat(HedgedExecutions);
     this->startCall(row);
 }
 
@@ -116,88 +117,90 @@
 
 void FanOutRequest::startPart(const PartPlan &partPlan, std::vector<std::size_t> rowNumbers)
 {
-    // Each part gets its share of what may be missing, rounded up. One of a cell is small, and one that waits for its own late shards keeps all of
-    // them from a search that could leave; so it may lack half of all that may be missing, and one that lacks more makes the search late anyway. After
-    // the target it is whole. Of hedges any that is in is of use.
+    // Each part may lack its share of the maximum missing, rounded up. A part of one cell is small, and while its owner waits for late shards all of its shards
+    // are unavailable to a search that could be answered. It may therefore lack half of the maximum missing; a part that lacks more makes the search late
+    // anyway. After the target it has to be complete. A part of hedges is useful with any one shard.
     const auto bySize = (this->maximumMissing() * partPlan.shards.size() + this->rows.size() - 1) / this->rows.size();
     const auto ofCell = this->canBeInTime() ? std::max(bySize, this->maximumMissing() / 2) : 0;
     const auto share = partPlan.owners.empty() ? bySize : ofCell;
-    const PartTerms partTerms{.targetAt = this->parameters.targetAt,
+    const PartParameters partParameters{.targetAt = this->parameters.targetAt,
         .expiresAt = std::min(this->parameters.expiresAt, this->arrivedAt + this->plan.timeoutInTargets * this->route.targetLatency),
         .maximumMissing = partPlan.isHedge ? partPlan.shards.size() - 1 : share,
         .topRecords = this->topRecords(),
         .allowedRegions = this->parameters.allowedRegions};
-    this->parts.push_back(std::make_unique<AskedPart>());
-    auto &asked = *this->parts.back();
-    asked.part = std::make_unique<RelayedPart>(this->context, this->route, this->request, partPlan, partTerms);
-    asked.rowNumbers = std::move(rowNumbers);
-    for (const auto number : asked.rowNumbers) {
-        this->rows[number].part = asked.part.get();
-    }
-    asked.part->start([this, &asked] {
-        this->withoutCompleting([this, &asked] {
-            this->takePart(asked);
+    this->parts.push_back(std::make_unique<SentPart>());
+    auto &sentPart = *this->parts.back();
+    sentPart.part = std::make_unique<RelayedPart>(this->context, this->route, this->request, partPlan, partParameters);
+    sentPart.rowNumbers = std::move(rowNumbers);
+    for (const auto number : sentPart.rowNumbers) {
+        this->rows[number].part = sentPart.part.get();
+    }
+    sentPart.part->start([this, &sentPart] {
+        this->withCompletionDeferred([this, &sentPart] {
+            this->handlePart(sentPart);
         });
         this->callFinished();
     });
 }
 
-void FanOutRequest::takePart(const AskedPart &asked)
+void FanOutRequest::handlePart(const SentPart &sentPart)
 {
-    const auto missing = asked.part->missing();
-    for (const auto number : asked.rowNumbers) {
+    const auto missing = sentPart.part->missing();
+    for (const auto number : sentPart.rowNumbers) {
         auto &row = this->rows[number];
         const auto found = std::find_if(missing.begin(), missing.end(), [&row](const Protocol::MissingShard &shard) {
             return shard.serviceName == row.shard.value();
         });
         const bool isIn = found == missing.end();
-        if (asked.part->call().state() == CallState::Answered) {
-            this->context.pool->learnFromPart(row.shard, asked.part->zone(), isIn ? 1.0 : MissedRatio);
+        if (sentPart.part->call().state() == CallState::Answered) {
+            this->context.pool->learnFromPart(row.shard, sentPart.part->zone(), isIn ? 1.0 : MissedRatio);
         }
-        if (asked.part->isHedge()) {
-            this->takeHedged(asked, row, isIn ? nullptr : &*found);
+        if (sentPart.part->isHedge()) {
+            this->handleHedgedPart(sentPart, row, isIn ? nullptr : &*found);
         } else if (isIn) {
             row.inPart = true;
         } else {
-            this->noteMissing(asked, row, *found);
+            this->recordMissing(sentPart, row, *found);
         }
     }
-    this->askMissing();
+    this->retryMissingShards();
 }
 
-void FanOutRequest::noteMissing(const AskedPart &asked, Row &row, const Protocol::MissingShard &missing)
+void FanOutRequest::recordMissing(const SentPart &sentPart, Row &row, const Protocol::MissingShard &missing)
 {
-    const auto before = row.lost;
-    row.lost = missing;
-    row.wasInPart = &asked;
-    if (asked.part->call().state() != CallState::Answered) {
-        // An answer counts what was done before it; without one only what was done for this part is known.
-        row.lost.executions += before.executions;
-        row.lost.sends += before.sends;
-        row.lost.counted = row.lost.counted || before.counted;
+    const auto before = row.remoteAttempts;
+    row.remoteAttempts = missing;
+    row.missingFromPart = &sentPart;
+    if (sentPart.part->call().state() != CallState::Answered) {
+        // An answered part reports all attempts, including earlier ones. Without an answer only the attempts for this part are known, so the earlier ones are
+        // added.
+        row.remoteAttempts.executions += before.executions;
+        row.remoteAttempts.sends += before.sends;
+        row.remoteAttempts.counted = row.remoteAttempts.counted || before.counted;
     }
-    row.mayAskAgain = row.lost.executions < this->route.maximumAttempts;
+    row.mayRetry = row.remoteAttempts.executions < this->route.maximumAttempts;
 }
 
-// `missing` is nullptr when the other gateway has the shard's answer.
-void FanOutRequest::takeHedged(const AskedPart &asked, Row &row, const Protocol::MissingShard *missing)
+// `missing` is nullptr if the part contains the shard's answer.
+void FanOutRequest::handleHedgedPart(const SentPart &sentPart, Row &row, const Protocol::MissingShard *missing)
 {
     if (missing == nullptr) {
-        // NOTE: Also when the answer from here has come meanwhile: records of a part can't be told apart by shard, so the part's count.
+        // NOTE: This also replaces a direct answer that has arrived meanwhile: the records of a part cannot be told apart by shard, so its answer is the one
+        // that counts.
         row.inPart = true;
-        row.call->cameBack(1);
+        row.call->relayedHedgeEnded(1);
         row.call->cancel(false);
         return;
     }
-    switch (asked.part->call().state()) {
+    switch (sentPart.part->call().state()) {
     case CallState::Answered:
-        row.call->cameBack(std::max(0, missing->executions - HedgedExecutions));
+        row.call->relayedHedgeEnded(std::max(0, missing->executions - HedgedExecutions));
         break;
     case CallState::NotRun:
-        row.call->cameBack(0);
+        row.call->relayedHedgeEnded(0);
         break;
     default:
-        row.call->cameBack(1);
+        row.call->relayedHedgeEnded(1);
         break;
     }
 }
@@ -207,40 +210,40 @@
     return this->now() + this->parameters.typicalLatency < this->parameters.targetAt;
 }
 
-// Shards that came back missing are asked for again while they can be in time, and later only when there are too few without them: a search that has
-// enough leaves at its target and would only cancel them.
-void FanOutRequest::askMissing()
+// Retries shards that were missing from parts, while they can be answered before the target. Later they are retried only if too few shards are answered or in
+// flight, since a search with enough shards is answered at its target and would only cancel them.
+void FanOutRequest::retryMissingShards()
 {
-    const bool tooFew = this->answeredCount() + this->openCount() < this->needed();
-    if (this->isTimeUp() || (!this->canBeInTime() && !tooFew)) {
+    const bool tooFew = this->answeredCount() + this->openCount() < this->requiredShards();
+    if (this->isExpired() || (!this->canBeInTime() && !tooFew)) {
         return;
     }
-    std::map<PartAgain, std::vector<std::size_t>> again;
+    std::map<PartRetry, std::vector<std::size_t>> retries;
     for (std::size_t number = 0; number < this->rows.size(); ++number) {
         auto &row = this->rows[number];
-        if (!std::exchange(row.mayAskAgain, false)) {
+        if (!std::exchange(row.mayRetry, false)) {
             continue;
         }
-        const auto &asked = *row.wasInPart;
-        // An owner is asked twice at most, and this gateway asks for what is missing then.
-        if (asked.part->hasOwners() && !asked.part->isAgain()) {
-            again[{&asked, row.lost.executions, row.lost.sends, row.lost.counted}].push_back(number);
+        const auto &sentPart = *row.missingFromPart;
+        // A shard is requested from its owner twice at most. After that this gateway sends to the missing shards directly.
+        if (sentPart.part->hasOwners() && !sentPart.part->isRetry()) {
+            retries[{&sentPart, row.remoteAttempts.executions, row.remoteAttempts.sends, row.remoteAttempts.counted}].push_back(number);
         } else {
-            this->startDirect(row, row.lost);
+            this->startDirect(row, row.remoteAttempts);
         }
     }
-    for (auto &[what, rowNumbers] : again) {
-        this->askOwnerAgain(what, std::move(rowNumbers));
+    for (auto &[what, rowNumbers] : retries) {
+        this->retryAtOwner(what, std::move(rowNumbers));
     }
 }
 
-// The owner has the connections, knows which backend servers are late, and has the repeats.
-void FanOutRequest::askOwnerAgain(const PartAgain &what, std::vector<std::size_t> rowNumbers)
+// Sends the shards to the owner again: it has connections to the backend servers, knows which of them are late, and has the larger share of the retry budget.
+void FanOutRequest::retryAtOwner(const PartRetry &what, std::vector<std::size_t> rowNumbers)
 {
-    PartPlan part = what.asked->part->asked();
+    PartPlan part = what.sentPart->part->sentPlan();
     part.shards.clear();
     part.mayRelayFurther = false;
-    part.isAgain = true;
+    part.isRetry = true;
     for (const auto number : rowNumbers) {
         part.shards.push_back(this->rows[number].shard);
     }
@@ -250,11 +253,11 @@
     this->startPart(part, std::move(rowNumbers));
 }
 
-// Hedges that go to the same zone of another region go together, since each reply of its own costs as many bytes as all of them in one part.
+// Hedges for one zone of another region are sent as one part, since separate replies would each cost as many bytes as the whole part.
 bool FanOutRequest::mayHedgeTogether(const Row &row, const Backend &candidate) const
 {
-    const bool isAskedElsewhere = row.part != nullptr && row.part->isOpen();
-    return !candidate.sameRegion && !isAskedElsewhere && !this->isTargetDue() && this->context.relays->hasReady(relayService(candidate.zone));
+    const bool isRelayed = row.part != nullptr && row.part->isOpen();
+    return !candidate.sameRegion && !isRelayed && !this->isTargetReached() && this->context.relays->hasReady(relayService(candidate.zone));
 }
 
 Core::Instant FanOutRequest::hedgeLateCalls()
@@ -266,13 +269,13 @@
         if (!row.call) {
             continue;
         }
-        const auto look = row.call->lookForHedge();
-        if (look.candidate == nullptr) {
-            next = std::min(next, look.lookAgainAt.value_or(next));
-        } else if (this->mayHedgeTogether(row, *look.candidate)) {
-            together[look.candidate->zone].push_back(number);
+        const auto hedgeCheck = row.call->checkHedge();
+        if (hedgeCheck.candidate == nullptr) {
+            next = std::min(next, hedgeCheck.nextCheckAt.value_or(next));
+        } else if (this->mayHedgeTogether(row, *hedgeCheck.candidate)) {
+            together[hedgeCheck.candidate->zone].push_back(number);
         } else {
-            row.call->hedge(*look.candidate);
+            row.call->hedge(*hedgeCheck.candidate);
         }
     }
     for (const auto &[zone, rowNumbers] : together) {
@@ -290,12 +293,12 @@
     }
     hedges.owners = this->context.cells->commonOwnersOf(late, this->route.shards.size(), zone);
     const bool savesReply = !hedges.minimumRecord.empty() && this->topRecords() * RecordBytes >= LargeReplyBytes;
-    // An owner has connections to the backend servers, which take a round trip and more to open from here.
-    const bool asPart = rowNumbers.size() >= FewestHedgesTogether || savesReply || !hedges.owners.empty();
+    // An owner has open connections to the backend servers. Opening one from here would take a round trip or more.
+    const bool asPart = rowNumbers.size() >= MinimumHedgesInPart || savesReply || !hedges.owners.empty();
     std::vector<std::size_t> hedged;
     for (const auto number : rowNumbers) {
         auto &row = this->rows[number];
-        if (asPart && row.call->hedgeElsewhere()) {
+        if (asPart && row.call->reserveRelayedHedge()) {
             hedges.shards.push_back(row.shard);
             hedged.push_back(number);
         } else {
@@ -307,19 +310,19 @@
     }
 }
 
-Core::Instant FanOutRequest::lookAtCalls()
+Core::Instant FanOutRequest::handleLateCalls()
 {
     auto next = this->hedgeLateCalls();
-    // NOTE: By number, since a part that is taken may start others.
+    // NOTE: Iterates by index, since handling a part may add other parts.
     for (std::size_t index = 0; index < this->parts.size(); ++index) {
-        const auto &asked = *this->parts[index];
-        auto &part = *asked.part;
+        const auto &sentPart = *this->parts[index];
+        auto &part = *sentPart.part;
         if (!part.isOpen()) {
             continue;
         }
         if (this->now() >= part.expiresAt()) {
             part.cancel(false);
-            this->takePart(asked);
+            this->handlePart(sentPart);
         } else {
             next = std::min(next, part.expiresAt());
         }
@@ -334,8 +337,8 @@
             row.call->cancel(callerIsGone);
         }
     }
-    for (const auto &asked : this->parts) {
-        asked->part->cancel(callerIsGone);
+    for (const auto &sentPart : this->parts) {
+        sentPart->part->cancel(callerIsGone);
     }
 }
 
@@ -346,14 +349,14 @@
     return true;
 }
 
-bool FanOutRequest::isAnsweredHere(const Row &row)
+bool FanOutRequest::isAnsweredDirectly(const Row &row)
 {
     return !row.inPart && row.call && row.call->state() == CallState::Answered;
 }
 
 bool FanOutRequest::isAnswered(const Row &row)
 {
-    return row.inPart || isAnsweredHere(row);
+    return row.inPart || isAnsweredDirectly(row);
 }
 
 bool FanOutRequest::isOpen(const Row &row)
@@ -363,16 +366,16 @@
     return !isAnswered(row) && (byPart || byCall);
 }
 
-std::size_t FanOutRequest::needed() const
+std::size_t FanOutRequest::requiredShards() const
 {
-    // A hair less, so that 0.89 of 100 shards are 89 of them whatever the rounding of the product.
+    // The product is reduced slightly, so that 0.89 of 100 shards are 89 of them despite rounding errors.
     const double exact = this->route.minimumCoverage * static_cast<double>(this->route.shards.size()) - 1e-9;
     return std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(exact)));
 }
 
 std::size_t FanOutRequest::maximumMissing() const
 {
-    return this->context.relayParameters.has_value() ? this->context.relayParameters->maximumMissing : this->route.shards.size() - this->needed();
+    return this->context.relayParameters.has_value() ? this->context.relayParameters->maximumMissing : this->route.shards.size() - this->requiredShards();
 }
 
 std::size_t FanOutRequest::topRecords() const
@@ -393,64 +396,65 @@
 bool FanOutRequest::mayHaveRun() const
 {
     const bool byRow = std::any_of(this->rows.begin(), this->rows.end(), [](const Row &row) {
-        return row.inPart || row.lost.executions > 0 || (row.call && row.call->executions() > 0);
+        return row.inPart || row.remoteAttempts.executions > 0 || (row.call && row.call->executions() > 0);
     });
-    const bool byPart = std::any_of(this->parts.begin(), this->parts.end(), [](const auto &asked) {
-        return asked->part->mayHaveRun();
+    const bool byPart = std::any_of(this->parts.begin(), this->parts.end(), [](const auto &sentPart) {
+        return sentPart->part->mayHaveRun();
     });
     return byRow || byPart;
 }
 
-void FanOutRequest::check()
+void FanOutRequest::completeIfPossible()
 {
-    if (this->asker == RequestOrigin::Caller) {
-        this->checkForCaller();
+    if (this->origin == RequestOrigin::Caller) {
+        this->completeForCallerIfPossible();
     } else {
-        this->checkForOtherGateway();
+        this->completeForGatewayIfPossible();
     }
 }
 
-// A merged answer leaves when all parts are in; when the target is due and enough are in; and after the target as soon as enough are in.
-void FanOutRequest::checkForCaller()
+// A merged answer is sent when all shards are answered, when the target is reached and enough are answered, or after the target as soon as enough are answered.
+void FanOutRequest::completeForCallerIfPossible()
 {
     const auto answered = this->answeredCount();
     const auto open = this->openCount();
-    const bool enough = answered >= this->needed();
-    if (enough && (open == 0 || this->isTargetDue())) {
+    const bool enough = answered >= this->requiredShards();
+    if (enough && (open == 0 || this->isTargetReached())) {
         this->answerCaller();
-    } else if (answered + open < this->needed()) {
-        this->withoutCompleting([this] {
-            this->askMissing();
+    } else if (answered + open < this->requiredShards()) {
+        this->withCompletionDeferred([this] {
+            this->retryMissingShards();
         });
-        if (this->answeredCount() + this->openCount() < this->needed()) {
+        if (this->answeredCount() + this->openCount() < this->requiredShards()) {
             this->cancelCalls(false);
             this->refuse(this->mayHaveRun());
         }
     }
 }
 
-// A part leaves when all shards are in or lost; when the target is due and few are missing; and after the target as soon as few are.
-void FanOutRequest::checkForOtherGateway()
+// A part is sent when no shard is in flight any more, when the target is reached and at most the maximum missing are missing, or after the target as soon as
+// that is the case.
+void FanOutRequest::completeForGatewayIfPossible()
 {
     const auto missing = this->rows.size() - this->answeredCount();
-    if (this->openCount() == 0 || (this->isTargetDue() && missing <= this->maximumMissing())) {
+    if (this->openCount() == 0 || (this->isTargetReached() && missing <= this->maximumMissing())) {
         this->answerOtherGateway();
     }
 }
 
 // ---- Answers
 
-void FanOutRequest::noteLatencies() const
+void FanOutRequest::recordLatencies() const
 {
     for (const auto &row : this->rows) {
-        if (isAnsweredHere(row)) {
+        if (isAnsweredDirectly(row)) {
             this->context.latencies->add(row.call->latency());
         }
     }
 }
 
-// What is less than as many records as are wanted can't be wanted any more, if these stay. The answer of a row whose hedge is under way may yet
-// be replaced by that of another backend server, which need not hold the same records.
+// Returns the lowest of the wanted records that are already here: a lesser record cannot be in the answer if these stay. A direct answer whose hedge is in
+// flight may still be replaced by the answer of another backend server, which need not hold the same records, so such rows are left out.
 std::string FanOutRequest::minimumRecord() const
 {
     const auto records = this->mergedRecords([](const Row &row) {
@@ -464,12 +468,12 @@
 {
     std::vector<std::string_view> merged;
     for (const auto &row : this->rows) {
-        if (isAnsweredHere(row) && counts(row)) {
+        if (isAnsweredDirectly(row) && counts(row)) {
             merged.emplace_back(row.call->reply().message.body);
         }
     }
-    for (const auto &asked : this->parts) {
-        merged.emplace_back(asked->part->answer().records);
+    for (const auto &sentPart : this->parts) {
+        merged.emplace_back(sentPart->part->answer().records);
     }
     return mergeGreatest(merged, this->topRecords());
 }
@@ -478,36 +482,37 @@
 {
     std::vector<std::string> all;
     for (const auto &row : this->rows) {
-        if (isAnsweredHere(row)) {
+        if (isAnsweredDirectly(row)) {
             all.push_back(row.call->reply().signature);
         }
     }
-    for (const auto &asked : this->parts) {
-        const auto &others = asked->part->answer().signatures;
+    for (const auto &sentPart : this->parts) {
+        const auto &others = sentPart->part->answer().signatures;
         all.insert(all.end(), others.begin(), others.end());
     }
     return all;
 }
 
-// Parts left out what is less than the least record that they were told. If the answer ends with less, such records may be missing from it.
-void FanOutRequest::verifyLeastRecords(const std::string &records) const
+// Logs an error if records may be missing from the answer: parts leave out records below the minimum record that they were sent, so the answer must not end
+// with a lesser one.
+void FanOutRequest::verifyMinimumRecords(const std::string &records) const
 {
     const bool isFull = records.size() == this->topRecords() * RecordBytes;
-    for (const auto &asked : this->parts) {
-        const auto &least = asked->part->asked().minimumRecord;
-        const bool leftOut = !least.empty() && !asked->part->answer().signatures.empty();
-        if (leftOut && (!isFull || records.compare(records.size() - RecordBytes, RecordBytes, least) < 0)) {
-            Core::logEvent(Core::LogLevel::Error, "answer.lacks_records", {{"request", this->request.id.value()}, {"zone", asked->part->zone()}});
+    for (const auto &sentPart : this->parts) {
+        const auto &minimum = sentPart->part->sentPlan().minimumRecord;
+        const bool mayLackRecords = !minimum.empty() && !sentPart->part->answer().signatures.empty();
+        if (mayLackRecords && (!isFull || records.compare(records.size() - RecordBytes, RecordBytes, minimum) < 0)) {
+            Core::logEvent(Core::LogLevel::Error, "answer.lacks_records", {{"request", this->request.id.value()}, {"zone", sentPart->part->zone()}});
         }
     }
 }
 
-// Each signature stands for one shard; one that stands twice shows that some shard was counted in two parts.
+// Logs an error if a shard is counted in two parts: each signature stands for one shard, so none may occur twice.
 void FanOutRequest::verifySignatures(std::vector<std::string> all) const
 {
     std::sort(all.begin(), all.end());
-    if (const auto twice = std::adjacent_find(all.begin(), all.end()); twice != all.end()) {
-        Core::logEvent(Core::LogLevel::Error, "answer.signature_twice", {{"request", this->request.id.value()}, {"signature", *twice}});
+    if (const auto duplicate = std::adjacent_find(all.begin(), all.end()); duplicate != all.end()) {
+        Core::logEvent(Core::LogLevel::Error, "answer.signature_twice", {{"request", this->request.id.value()}, {"signature", *duplicate}});
     }
 }
 
@@ -515,10 +520,10 @@
 {
     MergedAnswer answer;
     answer.id = this->request.id;
-    this->noteLatencies();
+    this->recordLatencies();
     answer.body = this->mergedRecords(everyRow);
     answer.signatures = this->signatures();
-    this->verifyLeastRecords(answer.body);
+    this->verifyMinimumRecords(answer.body);
     this->verifySignatures(answer.signatures);
     answer.missing = this->route.shards.size() - answer.signatures.size();
     this->cancelCalls(false);
@@ -527,14 +532,14 @@
 
 Protocol::MissingShard FanOutRequest::describeMissing(const Row &row) const
 {
-    Protocol::MissingShard missing = row.lost;
+    Protocol::MissingShard missing = row.remoteAttempts;
     missing.serviceName = row.shard.value();
     if (row.call) {
         missing.executions = row.call->executions();
-        missing.sends = row.lost.sends + row.call->attempts();
+        missing.sends = row.remoteAttempts.sends + row.call->attempts();
         missing.counted = true;
     } else if (row.part != nullptr && row.part->mayHaveRun()) {
-        // What ran for the other gateway is not known.
+        // It is not known what the other gateway has run, so all attempts that the route allows are assumed.
         missing.executions = this->route.maximumAttempts;
         missing.sends = 1;
         missing.counted = true;
@@ -545,7 +550,7 @@
 void FanOutRequest::answerOtherGateway()
 {
     Protocol::PartialAnswer answer;
-    this->noteLatencies();
+    this->recordLatencies();
     answer.records = this->mergedRecords(everyRow);
     if (this->context.relayParameters.has_value()) {
         dropLessThan(answer.records, this->context.relayParameters->minimumRecord);
@@ -564,16 +569,16 @@
 
 void FanOutRequest::describe(RequestSummary &summary) const
 {
-    summary.shards = this->asker == RequestOrigin::Caller ? this->route.shards.size() : this->rows.size();
+    summary.shards = this->origin == RequestOrigin::Caller ? this->route.shards.size() : this->rows.size();
     summary.answered = this->answeredCount();
     for (const auto &row : this->rows) {
         if (row.call) {
             describeCall(summary, *row.call);
         }
     }
-    for (const auto &asked : this->parts) {
-        summary.relayed += asked->rowNumbers.size();
-        describeCall(summary, asked->part->call());
+    for (const auto &sentPart : this->parts) {
+        summary.relayed += sentPart->rowNumbers.size();
+        describeCall(summary, sentPart->part->call());
     }
 }
 
--- a/Libraries/LibGateway/FanOutRequest.h
+++ b/Libraries/LibGateway/FanOutRequest.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A search over many shards. Shards with a backend server nearby are asked from
-// here; the others together by a gateway that is beside theirs and sends back
-// one merged part.
+// A search over many shards. Shards with a backend server in the same zone or
+// region are sent to directly. The others are relayed in groups to a gateway
+// close to their backend servers, which returns one merged part.
 
 #pragma once
 
@@ -14,15 +14,15 @@
 namespace Gateway
 {
 
-/** Who asks for a search. */
+/** Who a search came from. */
 enum class RequestOrigin {
-    /** Gets a merged answer, if enough shards are in. */
+    /** Gets a merged answer if enough shards are answered. */
     Caller,
-    /** Gets what there is when the target is due, and what is missing. */
+    /** Gets the shards that are answered when the target is reached, and the list of the missing ones. */
     OtherGateway,
 };
 
-/** Goes to every shard. */
+/** A search that is sent to every shard of its route or part. */
 class FanOutRequest final : public RoutedRequest
 {
 public:
@@ -31,95 +31,95 @@
         const Fleet::Route &route,
         CallerRequest request,
         RelayPlan plan,
-        RequestOrigin asker);
+        RequestOrigin origin);
 
 protected:
     void startCalls() override;
-    void check() override;
-    [[nodiscard]] Core::Instant lookAtCalls() override;
+    void completeIfPossible() override;
+    [[nodiscard]] Core::Instant handleLateCalls() override;
     void cancelCalls(bool callerIsGone) override;
     void describe(RequestSummary &summary) const override;
 
 private:
-    /** What another gateway is asked for, and the rows that it is asked for, by number. */
-    struct AskedPart {
+    /** A part that was relayed to another gateway, with the indexes of its shards in `rows`. */
+    struct SentPart {
         std::unique_ptr<RelayedPart> part;
         std::vector<std::size_t> rowNumbers;
     };
 
-    /** Shards that the same part came back without, after the same number of sends. */
-    struct PartAgain {
-        const AskedPart *asked{nullptr};
+    /** Groups shards that can be retried in one part: missing from the same part, after the same attempts. */
+    struct PartRetry {
+        const SentPart *sentPart{nullptr};
         int executions{0};
         int sends{0};
         bool counted{false};
-        auto operator<=>(const PartAgain &) const = default;
+        auto operator<=>(const PartRetry &) const = default;
     };
 
-    /** A shard, and who is asked for it. */
+    /** State of one shard of the search. */
     struct Row {
         Core::ServiceName shard;
-        // There when it is asked for from here.
+        // Set if this gateway sends to the shard directly.
         std::unique_ptr<ShardCall> call;
-        // There when another gateway was asked for it.
+        // Set if the shard was relayed to another gateway.
         RelayedPart *part{nullptr};
-        // The part holds its answer.
+        // The answer of the shard is in `part`.
         bool inPart{false};
-        // What may have run for it elsewhere when nobody asks for it any more.
-        Protocol::MissingShard lost;
-        // The part that came back without it, and whether it may be asked for once more.
-        const AskedPart *wasInPart{nullptr};
-        bool mayAskAgain{false};
+        // Attempts of other gateways that may have run and have ended.
+        Protocol::MissingShard remoteAttempts;
+        // The last part from which this shard was missing, and whether the shard may be retried.
+        const SentPart *missingFromPart{nullptr};
+        bool mayRetry{false};
     };
 
-    /** Whether enough shards have a backend server at all. */
+    /** Returns whether enough shards have an eligible backend server for the required coverage. */
     [[nodiscard]] bool canBeServed() const;
     void addRow(const Core::ServiceName &shard);
     void startDirect(Row &row, const Protocol::MissingShard &before);
-    void startHedged(Row &row);
+    void startHedgeForGateway(Row &row);
     void startCall(const Row &row);
     void startPart(const PartPlan &partPlan, std::vector<std::size_t> rowNumbers);
-    void takePart(const AskedPart &asked);
-    void takeHedged(const AskedPart &asked, Row &row, const Protocol::MissingShard *missing);
+    void handlePart(const SentPart &sentPart);
+    void handleHedgedPart(const SentPart &sentPart, Row &row, const Protocol::MissingShard *missing);
     [[nodiscard]] bool mayHedgeTogether(const Row &row, const Backend &candidate) const;
     void hedgeTogether(const std::string &zone, const std::vector<std::size_t> &rowNumbers);
     [[nodiscard]] Core::Instant hedgeLateCalls();
-    void noteMissing(const AskedPart &asked, Row &row, const Protocol::MissingShard &missing);
-    void askMissing();
-    /** Whether what is asked now usually comes before the target. */
+    void recordMissing(const SentPart &sentPart, Row &row, const Protocol::MissingShard &missing);
+    void retryMissingShards();
+    /** Returns whether the answer to an attempt that is sent now is expected before the target. */
     [[nodiscard]] bool canBeInTime() const;
-    void askOwnerAgain(const PartAgain &what, std::vector<std::size_t> rowNumbers);
-    void checkForCaller();
-    void checkForOtherGateway();
+    void retryAtOwner(const PartRetry &what, std::vector<std::size_t> rowNumbers);
+    void completeForCallerIfPossible();
+    void completeForGatewayIfPossible();
     void answerCaller();
     void answerOtherGateway();
     [[nodiscard]] static bool everyRow(const Row &row);
-    /** By a call from here, and not by a part. */
-    [[nodiscard]] static bool isAnsweredHere(const Row &row);
+    /** Returns whether the shard was answered by a direct call, and its answer is not part of a relayed part. */
+    [[nodiscard]] static bool isAnsweredDirectly(const Row &row);
     [[nodiscard]] static bool isAnswered(const Row &row);
     [[nodiscard]] static bool isOpen(const Row &row);
     [[nodiscard]] Protocol::MissingShard describeMissing(const Row &row) const;
-    [[nodiscard]] std::size_t needed() const;
-    /** How many shards may be missing from what this gateway was asked for. */
+    [[nodiscard]] std::size_t requiredShards() const;
+    /** Returns how many shards may be missing from the answer to the origin of the search. */
     [[nodiscard]] std::size_t maximumMissing() const;
-    /** How many of the greatest records are wanted. */
+    /** Returns how many of the greatest records the answer should contain. */
     [[nodiscard]] std::size_t topRecords() const;
     [[nodiscard]] std::size_t answeredCount() const;
     [[nodiscard]] std::size_t openCount() const;
     [[nodiscard]] bool mayHaveRun() const;
-    /** The greatest records of all parts, and of the rows that count. */
+    /** Returns the greatest records of all parts and of the directly answered rows for which `counts` is true. */
     [[nodiscard]] std::string mergedRecords(const std::function<bool(const Row &row)> &counts) const;
-    void noteLatencies() const;
+    void recordLatencies() const;
     [[nodiscard]] std::string minimumRecord() const;
-    void verifyLeastRecords(const std::string &records) const;
+    void verifyMinimumRecords(const std::string &records) const;
     void verifySignatures(std::vector<std::string> all) const;
     [[nodiscard]] std::vector<std::string> signatures() const;
 
     RelayPlan plan;
-    RequestOrigin asker;
-    // Invariant: one row for each shard that this gateway was asked for, in no order; none is added once the calls have started.
+    RequestOrigin origin;
+    // Invariant: one row for each shard that was requested, in any order. No row is added after the calls have started.
     std::vector<Row> rows;
-    std::vector<std::unique_ptr<AskedPart>> parts;
+    std::vector<std::unique_ptr<SentPart>> parts;
 };
 
 }
--- a/Libraries/LibGateway/PackedSignatures.cpp
+++ b/Libraries/LibGateway/PackedSignatures.cpp
@@ -10,16 +10,16 @@
 namespace Gateway
 {
 
-// Signatures come in header values, which can't hold this byte.
+// Signatures are header values, which cannot contain this byte.
 static constexpr char Separator = '\n';
-// Below this many signatures there is too little that is alike.
-static constexpr std::size_t FewestPacked = 4;
-// Far more than the signatures of any search.
+// With fewer signatures there is too little repetition to compress.
+static constexpr std::size_t MinimumPackedSignatures = 4;
+// Limit for the expanded signatures, far above the signatures of any search.
 static constexpr std::size_t MaximumBytes = 1024 * 1024;
 
 void packSignatures(Protocol::PartialAnswer &answer)
 {
-    if (answer.signatures.size() < FewestPacked) {
+    if (answer.signatures.size() < MinimumPackedSignatures) {
         return;
     }
     std::string joined;
--- a/Libraries/LibGateway/PackedSignatures.h
+++ b/Libraries/LibGateway/PackedSignatures.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Signatures of many shards in fewer bytes: most of a part that one gateway
-// sends another is signatures, and they are alike. Pure.
+// Compresses the signatures of a partial answer. Signatures are most of the bytes
+// of a part that one gateway sends to another, and they resemble each other. Does
+// no I/O.
 
 #pragma once
 
@@ -14,10 +15,10 @@
 namespace Gateway
 {
 
-/** Takes the signatures of an answer together, if that makes them shorter. */
+/** Replaces the signatures of an answer by their compressed form if that is shorter. */
 void packSignatures(Protocol::PartialAnswer &answer);
 
-/** Undoes packSignatures(). Fails with Corruption when the packed bytes are damaged. */
+/** Reverses packSignatures(). Fails with Corruption if the packed bytes are damaged. */
 [[nodiscard]] Core::Result<void> unpackSignatures(Protocol::PartialAnswer &answer);
 
 }
--- a/Libraries/LibGateway/RecordMerge.cpp
+++ b/Libraries/LibGateway/RecordMerge.cpp
@@ -32,13 +32,13 @@
     return merged;
 }
 
-void dropLessThan(std::string &records, std::string_view least)
+void dropLessThan(std::string &records, std::string_view minimum)
 {
-    if (least.size() != RecordBytes) {
+    if (minimum.size() != RecordBytes) {
         return;
     }
     std::size_t end = 0;
-    while (end + RecordBytes <= records.size() && std::memcmp(records.data() + end, least.data(), RecordBytes) >= 0) {
+    while (end + RecordBytes <= records.size() && std::memcmp(records.data() + end, minimum.data(), RecordBytes) >= 0) {
         end += RecordBytes;
     }
     records.resize(end);
--- a/Libraries/LibGateway/RecordMerge.h
+++ b/Libraries/LibGateway/RecordMerge.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Merges the records of several shards into the greatest ones. Pure.
+// Merges the records of several shards and keeps the greatest ones. Does no I/O.
 
 #pragma once
 
@@ -14,13 +14,16 @@
 namespace Gateway
 {
 
-/** Bytes of one record; parts are rows of them, in no order. */
+/** Size of a record in bytes. A part is a sequence of records in any order. */
 constexpr std::size_t RecordBytes = 16;
 
-/** The greatest `count` records of all parts, greatest first, compared byte by byte. Equal records all count. A remainder is no record. */
+/**
+ * Returns the `count` greatest records of all parts in descending order. Records are compared byte by byte, and equal records are all kept. Trailing bytes
+ * that are less than a record are ignored.
+ */
 [[nodiscard]] std::string mergeGreatest(const std::vector<std::string_view> &parts, std::size_t count);
 
-/** Cuts records that stand greatest first off after the last one that is as great as `least`, or greater. An empty `least` cuts nothing. */
-void dropLessThan(std::string &records, std::string_view least);
+/** Removes all records less than `minimum` from `records`, which must be in descending order. Does nothing if `minimum` is empty. */
+void dropLessThan(std::string &records, std::string_view minimum);
 
 }
--- a/Libraries/LibGateway/RelayPlan.cpp
+++ b/Libraries/LibGateway/RelayPlan.cpp
@@ -14,10 +14,10 @@
 namespace Gateway
 {
 
-static constexpr std::int64_t LongestMilliseconds = 3'600'000;
+static constexpr std::int64_t MaximumMilliseconds = 3'600'000;
 static constexpr int NotRunStatus = 503;
-// RelayParameters has so many fields but for the shards.
-static constexpr std::size_t TermNumbers = 9;
+// Number of fields of RelayParameters in the header of numbers.
+static constexpr std::size_t ParameterCount = 9;
 
 Core::ServiceName relayService(const std::string &zone)
 {
@@ -27,30 +27,30 @@
 namespace
 {
 
-/** A shard that is better asked for by another gateway. */
-struct FarShard {
+/** A shard that is better served by another gateway, with the zones whose gateways may serve it. */
+struct RemoteShard {
     Core::ServiceName name;
     std::vector<std::string> zones;
 };
 
 }
 
-// The zones whose gateways can be asked for a shard; this one alone where that is as good as any, none where nobody can be asked.
-static std::vector<std::string> zonesToAsk(const Core::ServiceName &shard, const RelayView &view)
+// Returns the zones whose gateways may serve the shard: only the own zone if it is among the best, and none if no gateway can serve it.
+static std::vector<std::string> candidateZones(const Core::ServiceName &shard, const RelayView &view)
 {
     auto zones = view.pool.goodZonesOf(shard, view.typicalLatency, view.allowedRegions);
     if (std::find(zones.begin(), zones.end(), view.ownZone) != zones.end()) {
         return {view.ownZone};
     }
     std::erase_if(zones, [&view](const std::string &zone) {
-        const bool discarded = view.onlyOtherRegions && Fleet::inSameRegion(view.regions, zone, view.ownZone);
-        return discarded || !view.relays.hasReady(relayService(zone));
+        const bool excluded = view.onlyOtherRegions && Fleet::inSameRegion(view.regions, zone, view.ownZone);
+        return excluded || !view.relays.hasReady(relayService(zone));
     });
     return zones;
 }
 
-// A zone of this region goes first, then the one that covers most; among equals searches are spread.
-static std::string chooseZone(const std::vector<FarShard> &shards, const RelayView &view)
+// Chooses a zone of this region first, then the zone that covers most shards. Searches are spread over equal zones.
+static std::string chooseZone(const std::vector<RemoteShard> &shards, const RelayView &view)
 {
     std::map<std::string, std::size_t> covered;
     for (const auto &shard : shards) {
@@ -73,16 +73,17 @@
     return best[view.number % best.size()];
 }
 
-static void addPart(RelayPlan &plan, PartPlan part, std::size_t fewest)
+static void addPart(RelayPlan &plan, PartPlan part, std::size_t minimum)
 {
-    if (part.shards.size() >= fewest) {
+    if (part.shards.size() >= minimum) {
         plan.parts.push_back(std::move(part));
     } else {
         plan.direct.insert(plan.direct.end(), part.shards.begin(), part.shards.end());
     }
 }
 
-// Shards of a divided zone go to the owners of their cells. What this gateway owns itself, or what is too little for a part, is asked from here.
+// Assigns the shards of a divided zone to the owners of their cells. Shards of cells that this gateway owns, and those too few for a part, are sent to
+// directly.
 static void addCells(RelayPlan &plan, const PartPlan &whole, const RelayView &view, const RelayOptions &options)
 {
     std::map<std::size_t, std::vector<Core::ServiceName>> cells;
@@ -97,7 +98,7 @@
         PartPlan part = whole;
         part.shards = std::move(shards);
         part.owners = view.cells.ownersOf(cell, view.shardsInSearch, whole.zone);
-        addPart(plan, std::move(part), options.fewestShards);
+        addPart(plan, std::move(part), options.minimumShards);
     }
 }
 
@@ -105,53 +106,53 @@
 {
     RelayPlan plan;
     plan.timeoutInTargets = options.timeoutInTargets;
-    std::vector<FarShard> far;
+    std::vector<RemoteShard> remote;
     PartPlan own{.zone = view.ownZone, .shards = {}, .mayRelayFurther = true};
     const bool ownCells = !view.onlyOtherRegions && view.cells.isDivided(view.ownZone);
     for (const auto &shard : shards) {
-        auto zones = zonesToAsk(shard, view);
+        auto zones = candidateZones(shard, view);
         if (zones.empty()) {
             plan.direct.push_back(shard);
         } else if (zones.front() == view.ownZone) {
             (ownCells ? own.shards : plan.direct).push_back(shard);
         } else {
-            far.push_back({.name = shard, .zones = std::move(zones)});
+            remote.push_back({.name = shard, .zones = std::move(zones)});
         }
     }
     addCells(plan, own, view, options);
-    while (!far.empty()) {
-        const auto zone = chooseZone(far, view);
-        const auto rest = std::stable_partition(far.begin(), far.end(), [&zone](const FarShard &shard) {
+    while (!remote.empty()) {
+        const auto zone = chooseZone(remote, view);
+        const auto rest = std::stable_partition(remote.begin(), remote.end(), [&zone](const RemoteShard &shard) {
             return std::find(shard.zones.begin(), shard.zones.end(), zone) != shard.zones.end();
         });
         PartPlan part{.zone = zone, .shards = {}, .mayRelayFurther = Fleet::inSameRegion(view.regions, zone, view.ownZone)};
-        for (auto shard = far.begin(); shard != rest; ++shard) {
+        for (auto shard = remote.begin(); shard != rest; ++shard) {
             part.shards.push_back(shard->name);
         }
-        far.erase(far.begin(), rest);
+        remote.erase(remote.begin(), rest);
         if (part.mayRelayFurther && view.cells.isDivided(zone)) {
             addCells(plan, part, view, options);
         } else {
             part.owners = view.cells.commonOwnersOf(part.shards, view.shardsInSearch, zone);
-            const auto fewest = part.mayRelayFurther ? options.fewestShards : options.fewestFarShards;
-            addPart(plan, std::move(part), fewest);
+            const auto minimum = part.mayRelayFurther ? options.minimumShards : options.minimumCrossRegionShards;
+            addPart(plan, std::move(part), minimum);
         }
     }
     return plan;
 }
 
-// Nothing when the text is not all of it, or out of bounds.
-static std::optional<RelayParameters> readTerms(const std::string &text)
+// Returns nullopt if numbers are missing, invalid or out of range.
+static std::optional<RelayParameters> parseRelayParameters(const std::string &text)
 {
     std::vector<std::int64_t> numbers;
     for (const auto &word : Core::splitList(text)) {
-        const auto number = Core::parseInteger(word, 0, LongestMilliseconds);
+        const auto number = Core::parseInteger(word, 0, MaximumMilliseconds);
         if (!number.has_value()) {
             return std::nullopt;
         }
         numbers.push_back(number.value());
     }
-    if (numbers.size() != TermNumbers) {
+    if (numbers.size() != ParameterCount) {
         return std::nullopt;
     }
     Protocol::MissingShard before;
@@ -177,7 +178,7 @@
     return text;
 }
 
-// Empty when it is not hexadecimal: nothing is left out then.
+// Returns an empty string for invalid hexadecimal, so that no records are left out then.
 static std::string fromHexadecimal(std::string_view text)
 {
     static constexpr int Base = 16;
@@ -203,7 +204,7 @@
     std::optional<Fleet::WorkspaceName> workspace;
     std::erase_if(headers, [&](const Wire::Header &header) {
         if (Wire::sameName(header.name, RelayHeader::Terms)) {
-            parameters = readTerms(header.value);
+            parameters = parseRelayParameters(header.value);
             return true;
         }
         if (Wire::sameName(header.name, RelayHeader::Shards)) {
@@ -274,7 +275,7 @@
     relayed->timeout = route.timeout;
     relayed->targetLatency = route.targetLatency;
     relayed->priority = route.priority;
-    // The other gateway sends to as many backend servers as the route allows, so a second one could exceed that.
+    // The serving gateway sends to as many backend servers as the route allows, so a second serving gateway could exceed that.
     relayed->idempotent = false;
     relayed->maximumAttempts = 1;
     relayed->targets = {Fleet::WeightedService{.service = relays, .weight = 1.0}};
@@ -286,7 +287,7 @@
     Dialect relay = dialect;
     relay.writeRequest = [write = dialect.writeRequest](std::string &bytes, const BackendRequest &request) {
         CallerRequest named = *request.caller;
-        // The other gateway goes by the part's parameters.
+        // The serving gateway takes the workspace from the part's parameters.
         named.workspace.reset();
         named.message.headers.push_back({RelayHeader::Send, std::to_string(request.number)});
         BackendRequest sent = request;
@@ -300,8 +301,8 @@
         const auto *name = Wire::findHeader(message.headers, RelayHeader::Send);
         return ReplyKey(name == nullptr ? std::string() : *name);
     };
-    // A gateway of a release before sends were named refuses parts, since it can't read their parameters. A refusal that belonged to another send would
-    // cost one send more and no answer.
+    // A gateway of a release without send ids refuses parts, because it cannot read their parameters, and its refusals carry no id. Accepting a refusal of
+    // another send would cost one additional send and no answer.
     relay.isUnnamedRefusal = [](const Wire::Response &message) {
         return message.status == NotRunStatus;
     };
--- a/Libraries/LibGateway/RelayPlan.h
+++ b/Libraries/LibGateway/RelayPlan.h
@@ -3,9 +3,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which shards of a search another gateway is asked for. Bytes between zones and
-// regions are dear, and backend servers cap their connections, so that not every
-// gateway can hold one to each of them.
+// Decides which shards of a search are relayed to other gateways, and encodes the
+// parameters of relayed parts. Traffic between zones and regions is expensive,
+// and backend servers limit their connections, so not every gateway can hold a
+// connection to each of them.
 
 #pragma once
 
@@ -16,142 +17,151 @@
 namespace Gateway
 {
 
-/** When shards are asked by another gateway. */
+/** Thresholds and timeouts for relaying shards to other gateways. */
 struct RelayOptions {
-    /** Fewer shards of another zone of this region are asked from here: a hop more costs as much as it saves. */
-    std::size_t fewestShards{3};
-    /** The same for another region: two whole replies are more bytes than one part with their greatest records and signatures. */
-    std::size_t fewestFarShards{2};
-    /** A relayed part is given up after this many target latencies: its gateway is gone or stands still. Long enough for late answers. */
+    /** Fewer shards than this in another zone of this region are sent to directly, because the extra hop costs as much as it saves. */
+    std::size_t minimumShards{3};
+    /** The same threshold for another region: two whole replies are more bytes than one part with their greatest records and signatures. */
+    std::size_t minimumCrossRegionShards{2};
+    /**
+     * A relayed part is cancelled after this multiple of the target latency, because its gateway has most likely ended or hangs. Long enough for late
+     * answers.
+     */
     int timeoutInTargets{4};
-    /** Another gateway that is sound accepts a connection within this time. */
+    /** Time limit for opening a connection to another gateway; a healthy gateway accepts within this time. */
     Core::Duration connectTimeout{Core::milliseconds(100)};
-    /** Another gateway's machine that runs acknowledges within a round trip, 24 ms between the farthest regions that we know of. */
+    /**
+     * Time limit for the acknowledgement of sent bytes. A running machine acknowledges within a round trip, which takes 24 ms between the farthest known
+     * regions.
+     */
     Core::Duration acknowledgementTimeout{Core::milliseconds(80)};
 };
 
-/** A part of a search that one other gateway is asked for. */
+/** A part of a search that is relayed to one other gateway. */
 struct PartPlan {
-    /** Where the gateways are that may be asked. */
+    /** Zone of the gateways that may serve the part. */
     std::string zone;
     std::vector<Core::ServiceName> shards;
-    /** Whether that gateway may give shards away in its turn; only one of the same region may, so that nothing goes in a circle. */
+    /** Whether the serving gateway may relay shards to a third one. Only allowed within one region, so that no shard is relayed in a circle. */
     bool mayRelayFurther{false};
-    /** The shards are hedged: each was sent once already, and the repeat is paid for. */
+    /** The shards are hedged: each was sent once already, and the repeats are consumed from the requesting gateway's retry budget. */
     bool isHedge{false};
-    /** Lesser records can't be among the greatest any more; empty when that is not known. */
+    /** Records below this one cannot be in the answer any more; empty if no such limit is known. */
     std::string minimumRecord;
-    /** The gateways that should be asked, the first of them first; any of the zone where there are none. */
+    /** Gateways that should serve the part, in order of preference; empty if any gateway of the zone may. */
     std::vector<BackendName> owners;
-    /** What was done for each of its shards before; its service name is empty. */
+    /** Earlier attempts for each of the shards; the service name is empty. */
     Protocol::MissingShard before;
-    /** An owner was asked for these shards before. */
-    bool isAgain{false};
+    /** The shards were in an earlier part that was sent to an owner, and they were missing from it. */
+    bool isRetry{false};
 };
 
-/** How a search is divided. */
+/** How a search is divided between direct calls and relayed parts. */
 struct RelayPlan {
-    /** Asked from here. */
+    /** Shards that this gateway sends to directly. */
     std::vector<Core::ServiceName> direct;
     std::vector<PartPlan> parts;
-    /** See RelayOptions. */
+    /** Multiple of the target latency after which a relayed part is cancelled. */
     int timeoutInTargets{4};
-    /** What was done before for each shard that is asked from here. */
+    /** Attempts of other gateways for each of the direct shards; the service name is empty. */
     Protocol::MissingShard before;
 };
 
-/** What a plan is made from. */
+/** Input of planRelay(). */
 struct RelayView {
     const BackendPool &pool;
-    /** Other gateways, by zone. */
+    /** Pool of the other gateways, with one service per zone (see relayService()). */
     const BackendPool &relays;
     std::string ownZone;
     const Fleet::RegionOfZone &regions;
-    /** What a reply usually takes. */
+    /** Median latency of a reply. */
     Core::Duration typicalLatency{0};
-    /** Spreads searches over zones that are equally good. */
+    /** Varies between searches, to spread them over zones that are equally good. */
     std::uint64_t number{0};
-    /** Who owns the shards of a zone. */
+    /** Owners of the shards of each zone. */
     const CellMap &cells;
-    /** Shards of the whole search. */
+    /** Number of shards in the whole search. */
     std::size_t shardsInSearch{0};
-    /** Only gateways of other regions are asked, because this one was asked itself by one of its own region. */
+    /** Only gateways of other regions may serve parts, because this gateway serves a part for one of its own region. */
     bool onlyOtherRegions{false};
-    /** Where the search may be served. */
+    /** Regions where the search may be served. */
     Fleet::AllowedRegions allowedRegions;
 };
 
-/** Gateways of one zone, as a service of the pool of relays. */
+/** Returns the service name of the gateways of a zone in the pool of relays. */
 [[nodiscard]] Core::ServiceName relayService(const std::string &zone);
 
-/** Divides a search: a shard goes to a zone where its best backend servers are, and shards that can go to the same zone go together. */
+/** Divides a search: each shard goes to a zone of its best backend servers, and shards that can go to the same zone go there together. */
 [[nodiscard]] RelayPlan planRelay(const std::vector<Core::ServiceName> &shards, const RelayView &view, const RelayOptions &options);
 
-/** Headers between gateways. They never go to a backend server, and callers' headers of these names are not trusted. */
+/** Headers between gateways. They are never sent to a backend server, and they are not trusted when a caller sends them. */
 namespace RelayHeader
 {
-/** Numbers with commas between them: the fields of RelayParameters in their order, times in milliseconds. */
+/** Comma-separated numbers: the fields of RelayParameters in their order, times in milliseconds. */
 constexpr const char *Terms = "Crankrudder-Part-Terms";
-/** The services that are asked for, with commas between them. */
+/** Comma-separated names of the requested shards. */
 constexpr const char *Shards = "Crankrudder-Shards";
-/** A record in hexadecimal: the answer needs none that is less. May be left out. */
+/** A record in hexadecimal; the answer needs no record below it. Optional. */
 constexpr const char *MinimumRecord = "Crankrudder-Least-Record";
-/** Regions with commas between them: the search may be served in no others. Left out where any region will do. */
+/** Comma-separated names of the regions where the search may be served. Absent if it may be served in any region. */
 constexpr const char *AllowedRegions = "Crankrudder-Allowed-Regions";
-/** The body is a partial answer. */
+/** Set if the body is a partial answer. */
 constexpr const char *Partial = "Crankrudder-Partial";
-/** The workspace whose search it is, as the asker found by the caller's key. Left out where there is none. */
+/** Workspace of the search, as the requesting gateway determined it by the caller's API key. Absent if there is none. */
 constexpr const char *Workspace = "Crankrudder-Workspace";
-/** A question to a keeper of a workspace's quota, naming the workspace: whether one more request may be let in. */
+/** Quota query to a quota keeper, with the workspace's name: whether one more request may be admitted. */
 constexpr const char *Quota = "Crankrudder-Quota";
-/** Names one send of a part; the other gateway's answer carries it back. A search's parts all have its request id. */
+/** Identifies one send of a part. The serving gateway returns it with the answer, since all parts of a search have the same request id. */
 constexpr const char *Send = "Crankrudder-Send";
 }
 
-/** What one gateway asks of another besides the request itself. */
+/** What a gateway sends with a relayed part in addition to the caller's request. */
 struct RelayParameters {
-    /** After this long the answer should leave, if no more shards are missing than may be. */
+    /** Time from arrival until the part should be sent if at most `maximumMissing` shards are missing. */
     Core::Duration timeLeftToTarget{0};
-    /** After this long it has to leave, whatever is missing. */
+    /** Time from arrival until the part must be sent, whatever is missing. */
     Core::Duration timeLeftToDeadline{0};
-    /** With more shards missing the whole search has most likely too few, so a late answer is worth more than one in time. */
+    /**
+     * Maximum number of missing shards in a part that is sent at the target. With more shards missing the whole search most likely has too few, so a late
+     * part is worth more than one that is in time.
+     */
     std::size_t maximumMissing{0};
-    /** See PartPlan. */
+    /** Whether the serving gateway may relay shards to a third one. This field, isHedge and before are copied from PartPlan. */
     bool mayRelayFurther{false};
     bool isHedge{false};
     Protocol::MissingShard before;
     std::vector<Core::ServiceName> shards;
-    /** See PartPlan. */
+    /** Records below this one are not needed in the answer; empty if no such limit is known. */
     std::string minimumRecord;
     /**
-     * How many of the greatest records the asker wants, by its own declaration. The other gateway's may differ for a moment after a change, and a part
-     * that was cut to fewer would lack records of the shards that it names.
+     * Number of greatest records that the requesting gateway wants according to its own declaration. The declaration of the serving gateway may differ
+     * for a moment after a change, and a part cut to fewer records would lack records of the shards that it lists as answered.
      */
     std::size_t topRecords{0};
     /**
-     * Where the search may be served by the declaration that the asker routed it by. What the other gateway's own declaration allows binds, too:
-     * the two may differ for a moment after a change, and the request must not run where either forbids it.
+     * Regions allowed by the declaration with which the requesting gateway routed the search. The declaration of the serving gateway applies as well: the
+     * two may differ for a moment after a change, and the request must not run where either of them forbids it.
      */
     Fleet::AllowedRegions allowedRegions;
-    /** Whose search it is. */
+    /** Workspace of the search, if any. */
     std::optional<Fleet::WorkspaceName> workspace;
 };
 
-/** Takes the parameters out of a request's headers; nothing when they are not all there. */
+/** Extracts the parameters from the headers of a request. Returns nullopt if they are incomplete or invalid. */
 [[nodiscard]] std::optional<RelayParameters> extractRelayParameters(Wire::Headers &headers);
 
-/** Takes the name of a send out of a request's headers; empty when there is none. */
+/** Extracts the id of a send from the headers of a request. Returns an empty string if there is none. */
 [[nodiscard]] std::string takeSendName(Wire::Headers &headers);
 
-/** Adds the parameters to a request's headers. */
+/** Adds the parameters to the headers of a request. */
 void addRelayParameters(Wire::Headers &headers, const RelayParameters &parameters);
 
-/** What a relayed part looks like to the gateway that gives it away: one request that is not sent twice. */
+/** Returns the route for sending a relayed part to the gateways of the service `relays`: one request that is not sent twice. */
 [[nodiscard]] std::shared_ptr<const Fleet::Route> makeRelayRoute(const Fleet::Route &route, const Core::ServiceName &relays);
 
 /**
- * The platform's dialect, as spoken between gateways: partial answers count as whole replies, refusals as proof that nothing ran, and each send has a
- * name of its own.
+ * Returns the dialect between gateways, derived from the platform's: partial answers count as successful replies, refusals prove that nothing ran, and each
+ * send has an id.
  */
 [[nodiscard]] Dialect makeRelayDialect(const Dialect &dialect);
 
--- a/Libraries/LibGateway/RelayedPart.cpp
+++ b/Libraries/LibGateway/RelayedPart.cpp
@@ -16,35 +16,35 @@
 namespace Gateway
 {
 
-// The shortest round trip is what was measured; queues and a connection that has to be opened make it longer.
-static constexpr double RelayWayFactor = 1.3;
-// A hop more: two gateways on small shares of a core.
+// Multiple of the measured shortest round trip that is expected for a part. Queues and a connection that has to be opened make it longer.
+static constexpr double RoundTripFactor = 1.3;
+// Time for the additional hop: two gateways that run on small shares of a core.
 static constexpr Core::Duration RelayOverhead = Core::milliseconds(4);
 
 RelayedPart::RelayedPart(
-    const RequestContext &context, const Fleet::Route &route, const CallerRequest &request, const PartPlan &plan, const PartTerms &partTerms)
+    const RequestContext &context, const Fleet::Route &route, const CallerRequest &request, const PartPlan &plan, const PartParameters &partParameters)
     : context(context), route(route), plan(plan), relays(relayService(plan.zone)), relayRoute(makeRelayRoute(route, this->relays)), request(request)
 {
     const auto now = context.timers->now();
-    // The other gateway answers so early that its part is here when the whole answer should leave.
-    const auto way = scaled(context.relays->roundTripTo(this->relays), RelayWayFactor) + RelayOverhead;
-    this->parameters = makeTerms(*context.settings, *this->relayRoute, this->request, *context.relayLatencies, now);
-    this->parameters.expiresAt = std::min(this->parameters.expiresAt, partTerms.expiresAt);
+    // The serving gateway is given so much less time that its part arrives by the time when the whole answer should be sent.
+    const auto transitTime = scaled(context.relays->roundTripTo(this->relays), RoundTripFactor) + RelayOverhead;
+    this->parameters = makeCallParameters(*context.settings, *this->relayRoute, this->request, *context.relayLatencies, now);
+    this->parameters.expiresAt = std::min(this->parameters.expiresAt, partParameters.expiresAt);
     this->parameters.urgency = urgencyOf(context.workspace, route);
     this->parameters.preferred = plan.owners;
-    // The request's body is not to travel where it may not be served, either.
-    this->parameters.allowedRegions = partTerms.allowedRegions;
+    // The request's body must not be sent to regions where the request may not be served either.
+    this->parameters.allowedRegions = partParameters.allowedRegions;
     addRelayParameters(this->request.message.headers,
-        RelayParameters{.timeLeftToTarget = std::max(Core::Duration(0), partTerms.targetAt - now - way),
-            .timeLeftToDeadline = std::max(Core::Duration(0), this->parameters.expiresAt - now - way),
-            .maximumMissing = partTerms.maximumMissing,
+        RelayParameters{.timeLeftToTarget = std::max(Core::Duration(0), partParameters.targetAt - now - transitTime),
+            .timeLeftToDeadline = std::max(Core::Duration(0), this->parameters.expiresAt - now - transitTime),
+            .maximumMissing = partParameters.maximumMissing,
             .mayRelayFurther = plan.mayRelayFurther,
             .isHedge = plan.isHedge,
             .before = plan.before,
             .shards = plan.shards,
             .minimumRecord = plan.minimumRecord,
-            .topRecords = partTerms.topRecords,
-            .allowedRegions = partTerms.allowedRegions,
+            .topRecords = partParameters.topRecords,
+            .allowedRegions = partParameters.allowedRegions,
             .workspace = this->request.workspace});
     this->relayCall = std::make_unique<ShardCall>(this->parameters, this->relays, *context.relays, *context.timers);
 }
@@ -71,35 +71,36 @@
         Core::logEvent(Core::LogLevel::Error, "part.unreadable", {{"request", this->request.id.value()}, {"error", answer.error().message}});
         return;
     }
-    if (const auto notAsked = this->missingButNotAsked(answer.value());
-        !notAsked.empty() || answer->signatures.size() + answer->missing.size() != this->plan.shards.size()) {
+    if (const auto unrequested = this->unrequestedMissing(answer.value());
+        !unrequested.empty() || answer->signatures.size() + answer->missing.size() != this->plan.shards.size()) {
         Core::logEvent(Core::LogLevel::Error,
             "part.incomplete",
             {{"request", this->request.id.value()},
                 {"shards", this->plan.shards.size()},
                 {"signatures", answer->signatures.size()},
                 {"missing", answer->missing.size()},
-                {"not_asked", Core::joinList(notAsked)}});
+                {"not_asked", Core::joinList(unrequested)}});
         return;
     }
     this->context.relayLatencies->add(this->relayCall->latency());
     this->partial = std::move(answer.value());
 }
 
-// Signatures don't tell whose they are: a shard is taken to be in if it is not named as missing. So a wrong name makes one count that is not in.
-std::vector<std::string> RelayedPart::missingButNotAsked(const Protocol::PartialAnswer &answer) const
+// Signatures do not tell which shard they belong to: a shard counts as answered if it is not listed as missing. A wrong name among the missing ones would make
+// a shard count that was not answered.
+std::vector<std::string> RelayedPart::unrequestedMissing(const Protocol::PartialAnswer &answer) const
 {
-    std::multiset<std::string> asked;
+    std::multiset<std::string> requested;
     for (const auto &shard : this->plan.shards) {
-        asked.insert(shard.value());
+        requested.insert(shard.value());
     }
-    std::vector<std::string> notAsked;
+    std::vector<std::string> unrequested;
     for (const auto &shard : answer.missing) {
-        if (asked.extract(shard.serviceName).empty()) {
-            notAsked.push_back(shard.serviceName);
+        if (requested.extract(shard.serviceName).empty()) {
+            unrequested.push_back(shard.serviceName);
         }
     }
-    return notAsked;
+    return unrequested;
 }
 
 void RelayedPart::cancel(bool callerGone)
@@ -130,7 +131,7 @@
     return this->plan.isHedge;
 }
 
-const PartPlan &RelayedPart::asked() const
+const PartPlan &RelayedPart::sentPlan() const
 {
     return this->plan;
 }
@@ -140,9 +141,9 @@
     return !this->plan.owners.empty();
 }
 
-bool RelayedPart::isAgain() const
+bool RelayedPart::isRetry() const
 {
-    return this->plan.isAgain;
+    return this->plan.isRetry;
 }
 
 const std::string &RelayedPart::zone() const
@@ -165,24 +166,24 @@
     const bool wasRead = this->partial.signatures.size() + this->partial.missing.size() > 0;
     switch (this->relayCall->state()) {
     case CallState::Answered:
-        // What ran for an answer that can't be read is not known.
+        // It is not known what ran for an answer that cannot be read, so all attempts that the route allows are assumed.
         return wasRead ? this->partial.missing : this->allMissing(this->route.maximumAttempts, 1);
     case CallState::NotRun:
         return this->allMissing(0, 0);
     default:
         break;
     }
-    if (this->relayCall->state() == CallState::FailedUnacknowledged || this->brokeAtOnce()) {
-        // Its machine fell silent or started again, so it most likely has not taken the part; an attempt at each shard is counted for it all the same.
+    if (this->relayCall->state() == CallState::FailedUnacknowledged || this->brokeImmediately()) {
+        // The machine stopped responding or was restarted, so the part most likely did not arrive. One attempt at each shard is counted for it nevertheless.
         return this->allMissing(this->relayCall->executions(), this->relayCall->executions());
     }
-    // What ran for the other gateway is not known, so nothing may be sent in its place.
+    // It is not known what the serving gateway has run, so all attempts that the route allows are assumed and none is sent in its place.
     return this->allMissing(this->route.maximumAttempts, 1);
 }
 
-// A machine that started again resets what it knows nothing of, a round trip after the send. Also a gateway that did take the part has sent each shard
-// at most once by then, since no backend server's answer can be there.
-bool RelayedPart::brokeAtOnce() const
+// A machine that was restarted resets connections it does not know, one round trip after the send. A gateway that did receive the part has sent each shard at
+// most once by then, because no backend server can have answered within that time.
+bool RelayedPart::brokeImmediately() const
 {
     const auto brokeAfter = this->relayCall->brokeAfter();
     return this->relayCall->state() == CallState::Failed && brokeAfter.has_value() && brokeAfter.value() <= this->context.settings->immediateBreak;
--- a/Libraries/LibGateway/RelayedPart.h
+++ b/Libraries/LibGateway/RelayedPart.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A part of a search that another gateway is asked for: many shards in one
-// request, whose answer holds their greatest records and their signatures.
+// A part of a search that is relayed to another gateway: many shards in one
+// request, whose answer contains their greatest records and their signatures.
 
 #pragma once
 
@@ -15,56 +15,57 @@
 namespace Gateway
 {
 
-/** When the part should be here, for how long it is waited for, and how many of its shards may be missing. */
-struct PartTerms {
-    /** The whole answer should leave then. */
+/** Time limits of a part and what it should contain. */
+struct PartParameters {
+    /** The answer to the whole search should be sent at this time. */
     Core::Instant targetAt;
     Core::Instant expiresAt;
-    /** See RelayParameters. */
+    /** Maximum number of missing shards, and number of greatest records; sent as the fields of RelayParameters with these names. */
     std::size_t maximumMissing{0};
     std::size_t topRecords{0};
     Fleet::AllowedRegions allowedRegions;
 };
 
-/** Open from start() until the other gateway has answered, failed, or was given up. */
+/** One relayed part. Open from start() until the serving gateway has answered or failed, or the part was cancelled. */
 class RelayedPart
 {
 public:
-    RelayedPart(const RequestContext &context, const Fleet::Route &route, const CallerRequest &request, const PartPlan &plan, const PartTerms &partTerms);
+    RelayedPart(
+        const RequestContext &context, const Fleet::Route &route, const CallerRequest &request, const PartPlan &plan, const PartParameters &partParameters);
     RelayedPart(const RelayedPart &) = delete;
     RelayedPart &operator=(const RelayedPart &) = delete;
 
-    /** Asks. `finished` is called once, from here or later, unless the part is given up first. */
+    /** Sends the part. `finished` is called at most once, possibly before start() returns, and not after cancel(). */
     void start(std::function<void()> finished);
 
     void cancel(bool callerGone);
 
     [[nodiscard]] bool isOpen() const;
     [[nodiscard]] Core::Instant expiresAt() const;
-    /** Whether any of its shards may have run there. */
+    /** Returns whether any shard of the part may have run at the serving gateway. */
     [[nodiscard]] bool mayHaveRun() const;
-    /** Its shards are under way from here as well. */
+    /** Returns whether the part hedges shards that this gateway has in flight as well. */
     [[nodiscard]] bool isHedge() const;
     [[nodiscard]] const std::string &zone() const;
-    [[nodiscard]] const PartPlan &asked() const;
-    /** Whether it went to owners of its cell. */
+    [[nodiscard]] const PartPlan &sentPlan() const;
+    /** Returns whether the part was sent to the owners of its cell. */
     [[nodiscard]] bool hasOwners() const;
-    /** See PartPlan. */
-    [[nodiscard]] bool isAgain() const;
+    /** Returns whether the shards were in an earlier part that was sent to an owner, and were missing from it. */
+    [[nodiscard]] bool isRetry() const;
     [[nodiscard]] const ShardCall &call() const;
 
-    /** Signatures and records of the shards that are in; empty while it is open, and when it failed. */
+    /** Returns the signatures and records of the answered shards; empty while the part is open, and if it failed. */
     [[nodiscard]] const Protocol::PartialAnswer &answer() const;
 
-    /** The shards that are not in, once it is no longer open: each with what may have run for it. */
+    /** Returns the missing shards once the part is no longer open, each with the attempts that may have run for it. */
     [[nodiscard]] std::vector<Protocol::MissingShard> missing() const;
 
 private:
     void handleOutcome();
-    /** Whether the connection broke so soon after the part was sent that its shards were sent once at most. */
-    [[nodiscard]] bool brokeAtOnce() const;
-    /** The shards that an answer names as missing though they were not asked for, or named before. */
-    [[nodiscard]] std::vector<std::string> missingButNotAsked(const Protocol::PartialAnswer &answer) const;
+    /** Returns whether the connection broke so soon after the send that each shard was sent at most once. */
+    [[nodiscard]] bool brokeImmediately() const;
+    /** Returns the shards that the answer lists as missing although they were not requested, or that it lists twice. */
+    [[nodiscard]] std::vector<std::string> unrequestedMissing(const Protocol::PartialAnswer &answer) const;
     [[nodiscard]] std::vector<Protocol::MissingShard> allMissing(int executions, int sends) const;
 
     RequestContext context;
--- a/Libraries/LibGateway/RequestSettings.cpp
+++ b/Libraries/LibGateway/RequestSettings.cpp
@@ -10,14 +10,14 @@
 namespace Gateway
 {
 
-// The share of a core on which the floor was measured.
+// Share of a core on which the minimum reserve was measured.
 static constexpr double MeasuredShare = 0.25;
-// A smaller share is taken for this one, so that nothing absurd comes of a setting.
-static constexpr double LeastShare = 0.05;
+// Smaller shares are treated as this one, so that a wrong setting does not give an unusable reserve.
+static constexpr double MinimumShare = 0.05;
 
 Core::Duration returnFloorFor(const RequestSettings &settings, double processorShare)
 {
-    const double share = std::clamp(processorShare, LeastShare, MeasuredShare);
+    const double share = std::clamp(processorShare, MinimumShare, MeasuredShare);
     const double slower = 1.0 / share - 1.0 / MeasuredShare;
     return settings.returnFloor + Core::Duration(static_cast<Core::Duration::rep>(slower * static_cast<double>(settings.returnWork.count())));
 }
--- a/Libraries/LibGateway/RequestSettings.h
+++ b/Libraries/LibGateway/RequestSettings.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Limits and delays of requests under way.
+// Time limits and delays of requests in flight.
 
 #pragma once
 
@@ -12,40 +12,50 @@
 namespace Gateway
 {
 
-/** All of them hold for every route; what differs by route is in the declaration. */
+/** Settings that apply to every route. Settings that differ by route are part of the declaration. */
 struct RequestSettings {
-    /** The part of the target latency that is kept for the way back to the caller and for a new connection of it. */
+    /** Fraction of the target latency that is reserved for sending the answer to the caller, including the caller opening a new connection. */
     double returnShare{0.13};
-    /** … but at least this long: four times the one-way time of the farthest callers that we know of (3 ms), and some for both programs. */
+    /**
+     * Minimum of this reserve: four times the one-way latency to the farthest known callers (3 ms), plus processing time in both
+     * programs.
+     */
     Core::Duration returnFloor{Core::milliseconds(16)};
-    /** The processor time of a whole core that an answer takes from its target on: merging, writing, and what waits at the same time. */
+    /** Processor time on a whole core that answers take from the target on: merging, writing, and other work that is due at the same time. */
     Core::Duration returnWork{Core::milliseconds(1)};
-    /** An attempt without a reply is hedged after this many times the usual latency … */
+    /** An attempt without a reply is hedged after this multiple of the typical latency. */
     double hedgeFactor{2.2};
-    /** … and at least this long, which is about what a round trip to the farthest region takes. */
+    /** Minimum hedge delay: about one round trip to the farthest region. */
     Core::Duration hedgeFloor{Core::milliseconds(16)};
-    /** … and at most this part of the target latency, so that a hedge can still make it. */
+    /** Maximum hedge delay as a fraction of the target latency, so that a hedge can still be answered before the target. */
     double hedgeCeilingShare{0.4};
-    /** The usual latency, as a part of the target, before any was measured. */
+    /** Typical latency as a fraction of the target latency, assumed until enough latencies were measured. */
     double assumedLatencyShare{0.15};
-    /** Given to the caller as the time to come back after when nothing ran. */
+    /** Sent to the caller as Retry-After when the request was not run. */
     Core::Duration retryAfter{Core::milliseconds(150)};
-    /** The same while this gateway does not know yet what is declared: about what is left of a start. Callers come back once, so sooner would be in vain. */
+    /**
+     * Sent as Retry-After while this gateway does not know the declaration yet: about the remaining time of a startup. Callers retry once, so an earlier
+     * retry would fail as well.
+     */
     Core::Duration comeBackAfterStart{Core::milliseconds(600)};
-    /** Kept back from the time that a request may take, so that its answer is out before the time is over. */
+    /** Reserved at the end of the time that a request may take, so that its answer is sent before that time is over. */
     Core::Duration answerReserve{Core::milliseconds(20)};
-    /** The part of the target latency that a single request waits for room before it is refused. */
-    double roomWaitShare{0.2};
+    /** Fraction of the target latency that a single request waits for free capacity before it is refused. */
+    double capacityWaitShare{0.2};
     /**
-     * A connection to another gateway that breaks within this time of a send was reset by a machine that knows nothing of it: a round trip within a
-     * region (2 ms) and both programs. Shorter than any backend server takes to lose an answer, so each shard was sent once at most by then.
+     * A connection to another gateway that breaks within this time after a send was reset by a machine that does not know the connection: one round trip
+     * within a region (2 ms) plus processing time in both programs. This is shorter than any backend server takes to lose an answer, so each shard was
+     * sent at most once by then.
      */
     Core::Duration immediateBreak{Core::milliseconds(6)};
-    /** How long a request may be held for which nobody said how long. */
-    Core::Duration defaultPatience{Core::seconds(10)};
+    /** Time limit of a request whose caller sent no timeout. */
+    Core::Duration defaultTimeout{Core::seconds(10)};
 };
 
-/** The return floor on a part of a core, which takes longer for the same work. A quarter of a core is in the floor itself, which was measured there. */
+/**
+ * Returns the minimum reserve for a gateway that runs on `processorShare` of a core: the same work takes longer on a smaller share. The setting itself was
+ * measured on a quarter of a core, so it already includes the work at that share.
+ */
 [[nodiscard]] Core::Duration returnFloorFor(const RequestSettings &settings, double processorShare);
 
 }
--- a/Libraries/LibGateway/RetryBudget.h
+++ b/Libraries/LibGateway/RetryBudget.h
@@ -3,9 +3,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Bounds the requests that a service gets beyond the first send of each. Every
-// gateway keeps its own part of a budget that holds for all of them together, so
-// the sum stays within it without a word between them. Pure.
+// Limits the repeats (hedges and retries) that a service receives beyond the
+// first send of each request. Each gateway enforces its own share of a budget for
+// the whole deployment, so the sum stays within the budget without any
+// communication between gateways. Does no I/O.
 
 #pragma once
 
@@ -19,18 +20,21 @@
 
 /** The budget of the whole deployment for one service. */
 struct RetryBudgetOptions {
-    /** Repeats for each request. */
+    /** Allowed repeats per request. */
     double ratio{0.2};
-    /** Repeats allowed on top, in one window, by all gateways together. */
+    /** Additional repeats that all gateways together may send in one window. */
     double slack{60.0};
     Core::Duration window{Core::seconds(10)};
-    /** No slack before then. What a process used before it was started again is forgotten, so a fresh one has none for a window. */
+    /** No slack is granted before this time. A restarted process does not know what its earlier incarnation consumed, so it gets no slack for one window. */
     Core::Instant slackFrom;
-    /** The part of the budget that is used, since requests arrive some milliseconds after they are sent, and gateways may be miscounted for a moment. */
+    /**
+     * Fraction of the budget that is used. The rest allows for requests that arrive some milliseconds after they were sent, and for a gateway count that
+     * is wrong for a moment.
+     */
     double usedShare{0.95};
 };
 
-/** Counts requests and repeats in a sliding window. */
+/** Counts the requests and the repeats of one service in a sliding window. */
 class RetryBudget
 {
 public:
@@ -38,11 +42,11 @@
 
     void recordRequest(Core::Instant now);
 
-    /** Takes one repeat out of the budget; false when there is none left. `slackShare` is the part of the slack that is this gateway's, up to 1. */
+    /** Consumes one repeat of the budget. Returns false if the budget is exhausted. `slackShare` is this gateway's share of the slack, from 0 to 1. */
     [[nodiscard]] bool consumeRetry(Core::Instant now, double slackShare);
 
 private:
-    // One slice more than a window has, so that each span of its length lies within what is counted.
+    // One slice more than the window has, so that every span of the window's length lies within the counted slices.
     static constexpr std::int64_t SlicesInWindow = 20;
     static constexpr std::int64_t SliceCount = SlicesInWindow + 1;
     struct Slice {
--- a/Libraries/LibGateway/RoutedRequest.cpp
+++ b/Libraries/LibGateway/RoutedRequest.cpp
@@ -10,10 +10,10 @@
 namespace Gateway
 {
 
-// Latencies that have to be known before they are taken for usual.
-static constexpr double FewestLatencies = 20.0;
-// Characters of a log line that tell of missing shards.
-static constexpr std::size_t LongestDetail = 160;
+// Number of measured latencies from which on their median is used as the typical latency.
+static constexpr double MinimumLatencySamples = 20.0;
+// Length limit of the list of missing shards in a log line, in characters.
+static constexpr std::size_t MaximumDetailLength = 160;
 
 const char *outcomeName(RequestOutcome outcome)
 {
@@ -41,7 +41,7 @@
     return Core::Duration(static_cast<Core::Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
-// How long after its arrival an answer should leave to reach the caller in time.
+// Returns the time from arrival until the answer should be sent in order to reach the caller within the target latency.
 static Core::Duration timeToTarget(const RequestSettings &settings, const Fleet::Route &route)
 {
     const auto reserve = std::max(scaled(route.targetLatency, settings.returnShare), settings.returnFloor);
@@ -50,7 +50,7 @@
 
 Core::Duration typicalLatencyOf(const RequestSettings &settings, const Fleet::Route &route, const Core::LatencyDigest &latencies)
 {
-    return latencies.quantile(0.5, scaled(route.targetLatency, settings.assumedLatencyShare), FewestLatencies);
+    return latencies.quantile(0.5, scaled(route.targetLatency, settings.assumedLatencyShare), MinimumLatencySamples);
 }
 
 Urgency urgencyOf(const Fleet::Workspace *workspace, const Fleet::Route &route)
@@ -58,10 +58,10 @@
     return {.workspace = workspace == nullptr ? 0 : workspace->priority, .route = route.priority};
 }
 
-CallParameters makeTerms(
+CallParameters makeCallParameters(
     const RequestSettings &settings, const Fleet::Route &route, const CallerRequest &request, const Core::LatencyDigest &latencies, Core::Instant now)
 {
-    const auto callerTimeout = request.callerTimeout.value_or(settings.defaultPatience);
+    const auto callerTimeout = request.callerTimeout.value_or(settings.defaultTimeout);
     CallParameters parameters;
     parameters.request = &request;
     parameters.route = &route;
@@ -80,7 +80,7 @@
     , routes(std::move(routes))
     , route(route)
     , request(std::move(request))
-    , parameters(makeTerms(*context.settings, route, this->request, *context.latencies, context.timers->now() - this->request.waited))
+    , parameters(makeCallParameters(*context.settings, route, this->request, *context.latencies, context.timers->now() - this->request.waited))
     , arrivedAt(context.timers->now() - this->request.waited)
 {
     this->parameters.urgency = urgencyOf(context.workspace, route);
@@ -110,61 +110,61 @@
 {
     this->answerHook = std::move(answer);
     this->finishedHook = std::move(finished);
-    this->withoutCompleting([this] {
+    this->withCompletionDeferred([this] {
         this->startCalls();
     });
-    this->scheduleLook(this->arrivedAt + this->parameters.hedgeDelay);
+    this->scheduleCheck(this->arrivedAt + this->parameters.hedgeDelay);
     this->callFinished();
 }
 
 void RoutedRequest::callFinished()
 {
-    if (!this->completionHeld && !this->done) {
-        this->check();
+    if (!this->completionDeferred && !this->done) {
+        this->completeIfPossible();
     }
 }
 
-void RoutedRequest::withoutCompleting(const std::function<void()> &steps)
+void RoutedRequest::withCompletionDeferred(const std::function<void()> &steps)
 {
-    const bool heldBefore = std::exchange(this->completionHeld, true);
+    const bool heldBefore = std::exchange(this->completionDeferred, true);
     steps();
-    this->completionHeld = heldBefore;
+    this->completionDeferred = heldBefore;
 }
 
-bool RoutedRequest::isTargetDue() const
+bool RoutedRequest::isTargetReached() const
 {
     return this->now() >= this->parameters.targetAt;
 }
 
-bool RoutedRequest::isTimeUp() const
+bool RoutedRequest::isExpired() const
 {
     return this->now() >= this->parameters.expiresAt;
 }
 
-void RoutedRequest::scheduleLook(Core::Instant due)
+void RoutedRequest::scheduleCheck(Core::Instant due)
 {
     auto wanted = std::min(due, this->parameters.expiresAt);
-    if (!this->isTargetDue()) {
+    if (!this->isTargetReached()) {
         wanted = std::min(wanted, this->parameters.targetAt);
     }
-    this->lookTimer = this->context.timers->once(std::max(Core::Duration(0), wanted - this->now()), [this](Core::Instant) {
-        this->look();
+    this->checkTimer = this->context.timers->once(std::max(Core::Duration(0), wanted - this->now()), [this](Core::Instant) {
+        this->runScheduledCheck();
     });
 }
 
-void RoutedRequest::look()
+void RoutedRequest::runScheduledCheck()
 {
-    if (this->isTimeUp()) {
+    if (this->isExpired()) {
         this->cancelCalls(false);
         this->callFinished();
         return;
     }
     auto next = this->parameters.expiresAt;
-    this->withoutCompleting([this, &next] {
-        next = this->lookAtCalls();
+    this->withCompletionDeferred([this, &next] {
+        next = this->handleLateCalls();
     });
-    // NOTE: The next look is planned first, because the last line may end this request.
-    this->scheduleLook(next);
+    // NOTE: The next check is scheduled first, because callFinished() may destroy this request.
+    this->scheduleCheck(next);
     this->callFinished();
 }
 
@@ -192,8 +192,8 @@
 
 void RoutedRequest::refuse(bool mayHaveRun)
 {
-    const auto refusal = !mayHaveRun ? Refusal::NotRun : this->isTimeUp() ? Refusal::TimedOut : Refusal::Failed;
-    const auto outcome = !mayHaveRun ? RequestOutcome::NotRun : this->isTimeUp() ? RequestOutcome::TimedOut : RequestOutcome::Failed;
+    const auto refusal = !mayHaveRun ? Refusal::NotRun : this->isExpired() ? Refusal::TimedOut : Refusal::Failed;
+    const auto outcome = !mayHaveRun ? RequestOutcome::NotRun : this->isExpired() ? RequestOutcome::TimedOut : RequestOutcome::Failed;
     this->complete(this->context.dialect->writeRefusal(refusal, this->request.id, this->context.settings->retryAfter), outcome);
 }
 
@@ -202,7 +202,7 @@
     summary.attempts += call.attempts();
     summary.hedges += call.hedges();
     const bool missing = call.state() != CallState::Answered;
-    if (missing && summary.detail.size() < LongestDetail) {
+    if (missing && summary.detail.size() < MaximumDetailLength) {
         summary.detail += call.service().value() + ":" + (call.failureReason().empty() ? "late" : call.failureReason()) + ";";
     }
 }
@@ -210,7 +210,7 @@
 void RoutedRequest::complete(Wire::Response response, RequestOutcome outcome)
 {
     this->done = true;
-    this->lookTimer.cancel();
+    this->checkTimer.cancel();
     RequestSummary summary;
     summary.request = &this->request;
     summary.route = &this->route;
@@ -223,7 +223,7 @@
     if (answer) {
         answer(std::move(response));
     }
-    // NOTE: The hook drops this request, so it comes last.
+    // NOTE: The hook destroys this request, so it is called last.
     const auto hook = std::exchange(this->finishedHook, nullptr);
     hook(summary);
 }
--- a/Libraries/LibGateway/RoutedRequest.h
+++ b/Libraries/LibGateway/RoutedRequest.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What every request of a caller has from its route to its answer: parameters, looks
-// at what is late, a summary. SingleRequest and FanOutRequest are the two kinds.
+// Base class of all requests that match a route: their parameters, the timer that
+// checks for late calls, their completion and their summary. SingleRequest and
+// FanOutRequest are the two kinds.
 
 #pragma once
 
@@ -15,27 +16,26 @@
 namespace Gateway
 {
 
-/** How a request ended. */
 enum class RequestOutcome {
-    /** A whole answer. */
+    /** A complete answer. */
     Answered,
-    /** A merged answer that leaves shards out. */
+    /** A merged answer without some of the shards. */
     Partial,
-    /** A backend server's own failure was passed on. */
+    /** A backend server's error response was forwarded. */
     FailedByBackend,
-    /** Nothing ran. */
+    /** The request was not run. */
     NotRun,
-    /** It may have run; no answer came in time. */
+    /** The request may have run, but no answer arrived in time. */
     TimedOut,
-    /** It may have run; its answer is lost. */
+    /** The request may have run, but its answer was lost. */
     Failed,
     CallerGone,
 };
 
-/** For log lines. */
+/** Name of the outcome in log lines. */
 [[nodiscard]] const char *outcomeName(RequestOutcome outcome);
 
-/** How a request ended, for logs and metrics. */
+/** Result of a request, for logs and metrics. */
 struct RequestSummary {
     const CallerRequest *request{nullptr};
     const Fleet::Route *route{nullptr};
@@ -44,78 +44,81 @@
     RequestOutcome outcome{RequestOutcome::Failed};
     std::size_t shards{0};
     std::size_t answered{0};
-    /** Of the shards, those that another gateway was asked for. */
+    /** Number of shards that were relayed to another gateway. */
     std::size_t relayed{0};
     int attempts{0};
     int hedges{0};
     Core::Duration took{0};
-    /** Which shards are missing, and why. */
+    /** The missing shards, each with the reason. */
     std::string detail;
 };
 
-/** What a request needs around it. */
+/** Everything outside a request that it uses. Pointers are not owned. */
 struct RequestContext {
     BackendPool *pool{nullptr};
-    /** Other gateways. */
+    /** Connections to other gateways. */
     BackendPool *relays{nullptr};
     Core::TimerService *timers{nullptr};
     const Dialect *dialect{nullptr};
     const RequestSettings *settings{nullptr};
-    /** Latencies of this route's replies, and of the other gateways' partial answers. */
+    /** Latencies of this route's replies, and of partial answers from other gateways. */
     Core::LatencyDigest *latencies{nullptr};
     Core::LatencyDigest *relayLatencies{nullptr};
-    /** How long backend servers are told that this route's searches wait; may be nullptr. */
+    /** Limits the time that backend servers are told for this route's searches; may be nullptr. */
     WorkLimit *workLimit{nullptr};
-    /** Who owns the shards of a zone. */
+    /** Owners of the shards of each zone. */
     const CellMap *cells{nullptr};
-    /** Whose request it is; nullptr where nobody's. Belongs to the declaration of the route. */
+    /** Workspace of the request, owned by the declaration that the route belongs to; nullptr if the request has none. */
     const Fleet::Workspace *workspace{nullptr};
-    /** What another gateway wants that asks for a part of a search. */
+    /** Set if the request is a part of a search that another gateway relayed to this one. */
     std::optional<RelayParameters> relayParameters;
 };
 
-/** Lives until it is answered; its owner drops it when `finished` is called. */
+/** A request from its route to its answer. Its owner destroys it when the `finished` hook is called. */
 class RoutedRequest
 {
 public:
     using AnswerHook = std::function<void(Wire::Response response)>;
     using FinishedHook = std::function<void(const RequestSummary &summary)>;
 
-    /** `routes` keeps the declaration that the route belongs to for as long as the request lives. */
+    /** `routes` keeps the declaration that contains `route` alive as long as the request. */
     RoutedRequest(RequestContext context, std::shared_ptr<const Fleet::RouteTable> routes, const Fleet::Route &route, CallerRequest request);
     virtual ~RoutedRequest();
     RoutedRequest(const RoutedRequest &) = delete;
     RoutedRequest &operator=(const RoutedRequest &) = delete;
 
-    /** `answer` is called once, `finished` after it. */
+    /** Starts the request. `answer` is called at most once, and `finished` is called once, after it. */
     void start(AnswerHook answer, FinishedHook finished);
 
-    /** A newer declaration has come into force: what is sent from now on keeps to what it allows for the route, too. */
+    /** Applies a newer declaration: later sends are also restricted to the regions that it allows for the route and the workspace. */
     void restrictTo(const Fleet::RouteTable &newer);
 
-    /** The caller went away: nothing is sent any more, and what runs is cancelled. */
+    /** Handles that the caller has gone: nothing more is sent, and attempts in flight are cancelled. */
     void callerGone();
 
 protected:
-    /** Starts the calls. Their hooks call callFinished(). */
+    /** Starts the calls. The hooks of the calls must call callFinished(). */
     virtual void startCalls() = 0;
-    /** Completes the request if it can be. */
-    virtual void check() = 0;
-    /** Hedges what is late. Returns when to look again at the latest. */
-    [[nodiscard]] virtual Core::Instant lookAtCalls() = 0;
-    /** Ends all calls. */
+    /** Completes the request if the state of its calls allows it. */
+    virtual void completeIfPossible() = 0;
+    /** Hedges late calls and ends those that have timed out. Returns the latest time for the next check. */
+    [[nodiscard]] virtual Core::Instant handleLateCalls() = 0;
+    /** Cancels all calls. */
     virtual void cancelCalls(bool callerIsGone) = 0;
-    /** Adds what the calls know. */
+    /** Adds the figures of the calls to the summary. */
     virtual void describe(RequestSummary &summary) const = 0;
 
+    /** To be called when a call has ended. */
     void callFinished();
-    /** Runs steps that may end calls at once; the request itself is not completed, and so not dropped, before they are done. */
-    void withoutCompleting(const std::function<void()> &steps);
+    /** Runs `steps`, which may end calls synchronously. Completion is deferred until they have returned, so that the request is not destroyed meanwhile. */
+    void withCompletionDeferred(const std::function<void()> &steps);
+    /** Ends the request with `response`. The finished hook may destroy the request. */
     void complete(Wire::Response response, RequestOutcome outcome);
+    /** Ends the request with a refusal: NotRun if nothing may have run, otherwise TimedOut or Failed. */
     void refuse(bool mayHaveRun);
     [[nodiscard]] std::unique_ptr<ShardCall> makeCall(const Core::ServiceName &service);
-    [[nodiscard]] bool isTargetDue() const;
-    [[nodiscard]] bool isTimeUp() const;
+    [[nodiscard]] bool isTargetReached() const;
+    [[nodiscard]] bool isExpired() const;
     [[nodiscard]] Core::Instant now() const;
     static void describeCall(RequestSummary &summary, const ShardCall &call);
 
@@ -127,27 +130,27 @@
     Core::Instant arrivedAt;
 
 private:
-    void look();
-    void scheduleLook(Core::Instant due);
+    void runScheduledCheck();
+    void scheduleCheck(Core::Instant due);
 
-    bool completionHeld{false};
+    bool completionDeferred{false};
     bool done{false};
     AnswerHook answerHook;
     FinishedHook finishedHook;
-    Core::TimerSubscription lookTimer;
+    Core::TimerSubscription checkTimer;
 };
 
-/** A part of a duration. */
+/** Returns `duration` multiplied by `factor`. */
 [[nodiscard]] Core::Duration scaled(Core::Duration duration, double factor);
 
-/** What a reply usually takes: the median, or an assumption before enough are known. */
+/** Returns the median latency of replies, or an assumed latency while too few were measured. */
 [[nodiscard]] Core::Duration typicalLatencyOf(const RequestSettings &settings, const Fleet::Route &route, const Core::LatencyDigest &latencies);
 
-/** How urgent a workspace's requests for a route are; nobody's are as urgent as the most urgent workspace's. */
+/** Returns the urgency of a workspace's requests for a route. Requests without a workspace are as urgent as those of the most urgent workspace. */
 [[nodiscard]] Urgency urgencyOf(const Fleet::Workspace *workspace, const Fleet::Route &route);
 
-/** The parameters of a request's calls, without their urgency. */
-[[nodiscard]] CallParameters makeTerms(
+/** Returns the parameters of a request's calls. Their urgency is not set. */
+[[nodiscard]] CallParameters makeCallParameters(
     const RequestSettings &settings, const Fleet::Route &route, const CallerRequest &request, const Core::LatencyDigest &latencies, Core::Instant now);
 
 }
--- a/Libraries/LibGateway/ShardCall.cpp
+++ b/Libraries/LibGateway/ShardCall.cpp
@@ -10,9 +10,9 @@
 namespace Gateway
 {
 
-// Backend servers that may refuse one request before it is given up; each refusal is a send that the budget pays for.
+// Maximum number of refusals by backend servers until a request is ended. A send after a refusal consumes a repeat.
 static constexpr int MaximumRefusals = 3;
-// What a hedge may be expected to take once the target has passed; less than the penalty of one that looks stuck.
+// Expected latency that a hedge may have once the target has passed. Less than the penalty of a backend server that looks stuck, so none of these is chosen.
 static constexpr Core::Duration LateHedgeLimit = Core::milliseconds(250);
 
 ShardCall::ShardCall(const CallParameters &parameters, Core::ServiceName service, BackendPool &pool, Core::TimerService &timers)
@@ -28,26 +28,26 @@
     }
 }
 
-void ShardCall::countEarlier(int executions, int sentBefore, bool counted)
+void ShardCall::recordEarlierAttempts(int executions, int sentBefore, bool counted)
 {
     this->executionCount = executions;
     this->earlierSends = sentBefore;
-    this->countedEarlier = counted;
+    this->requestAlreadyCounted = counted;
 }
 
-void ShardCall::countPaidRepeat(int executions)
+void ShardCall::recordConsumedRepeat(int executions)
 {
     this->executionCount = executions;
-    this->repeatIsPaid = true;
+    this->repeatAlreadyConsumed = true;
 }
 
 void ShardCall::start(std::function<void()> finishedHook)
 {
     this->finished = std::move(finishedHook);
-    if (this->repeatIsPaid) {
-        // The other gateway has counted it.
+    if (this->repeatAlreadyConsumed) {
+        // The requesting gateway has already counted the send in its budget.
     } else if (this->earlierSends == 0) {
-        if (!this->countedEarlier) {
+        if (!this->requestAlreadyCounted) {
             this->pool.recordRequest(this->serviceName);
         }
     } else if (!this->pool.consumeRetry(this->serviceName)) {
@@ -95,7 +95,7 @@
 
 void ShardCall::sendTo(Backend &backend)
 {
-    this->current = CallState::UnderWay;
+    this->current = CallState::InFlight;
     const auto now = this->timers.now();
     const auto name = backend.name;
     this->tried.push_back(name);
@@ -129,20 +129,20 @@
 
 bool ShardCall::isLateHedgeable() const
 {
-    return this->current == CallState::UnderWay && !this->running.empty() && this->parameters.route->idempotent && this->mayTryAnother();
+    return this->current == CallState::InFlight && !this->running.empty() && this->parameters.route->idempotent && this->mayTryAnother();
 }
 
 std::optional<Core::Instant> ShardCall::hedgeIfDue()
 {
-    const auto look = this->lookForHedge();
-    if (look.candidate == nullptr) {
-        return look.lookAgainAt;
+    const auto hedgeCheck = this->checkHedge();
+    if (hedgeCheck.candidate == nullptr) {
+        return hedgeCheck.nextCheckAt;
     }
-    this->hedge(*look.candidate);
+    this->hedge(*hedgeCheck.candidate);
     return std::nullopt;
 }
 
-HedgeLook ShardCall::lookForHedge()
+HedgeCheck ShardCall::checkHedge()
 {
     if (!this->isLateHedgeable()) {
         return {};
@@ -150,23 +150,24 @@
     const auto now = this->timers.now();
     const auto due = this->running.back().startedAt + this->parameters.hedgeDelay;
     if (now < due) {
-        return {.candidate = nullptr, .lookAgainAt = due};
+        return {.candidate = nullptr, .nextCheckAt = due};
     }
-    // Worth a repeat only where it is expected to be in time; after the target, anywhere that does not look stuck.
+    // Before the target a hedge is only worth a repeat where it is expected to be answered in time. After the target it may go to any backend server that does
+    // not look stuck.
     const auto within = now < this->parameters.targetAt ? this->parameters.targetAt - now : LateHedgeLimit;
     auto *backend = this->pool.choose(this->wanted(within));
     if (backend == nullptr) {
-        // Nobody sound has room just now; worth another look soon.
-        return {.candidate = nullptr, .lookAgainAt = now + this->parameters.hedgeDelay / 2};
+        // No healthy backend server has free capacity now; checked again soon.
+        return {.candidate = nullptr, .nextCheckAt = now + this->parameters.hedgeDelay / 2};
     }
-    return {.candidate = backend, .lookAgainAt = std::nullopt};
+    return {.candidate = backend, .nextCheckAt = std::nullopt};
 }
 
 void ShardCall::hedge(Backend &candidate)
 {
     const auto late = this->running.back();
     if (!this->pool.mayHaveBeenSent(late.id)) {
-        // The first one never left, so another place for it is no repeat.
+        // The first attempt has not been sent, so sending to another backend server is no repeat.
         this->pool.abandon(late.id, false);
         this->running.pop_back();
         this->sendTo(candidate);
@@ -178,23 +179,23 @@
     }
 }
 
-bool ShardCall::hedgeElsewhere()
+bool ShardCall::reserveRelayedHedge()
 {
     if (!this->pool.mayHaveBeenSent(this->running.back().id)) {
-        // Better sent from here, since it is no repeat then.
+        // The late attempt has not been sent, so this gateway can send to another backend server without a repeat.
         return false;
     }
     if (!this->pool.consumeRetry(this->serviceName)) {
         return false;
     }
     ++this->hedgeCount;
-    ++this->elsewhere;
+    ++this->relayedHedges;
     return true;
 }
 
-void ShardCall::cameBack(int executions)
+void ShardCall::relayedHedgeEnded(int executions)
 {
-    --this->elsewhere;
+    --this->relayedHedges;
     this->executionCount += executions;
 }
 
@@ -219,14 +220,14 @@
     case AttemptEnd::Broken:
     case AttemptEnd::Unacknowledged:
         ++this->executionCount;
-        this->lastBreak = this->timers.now() - attempt.startedAt;
+        this->lastBreakAfter = this->timers.now() - attempt.startedAt;
         this->reason = outcome.reason;
         this->retryOrFinish(outcome.end == AttemptEnd::Broken ? CallState::Failed : CallState::FailedUnacknowledged);
         break;
     }
 }
 
-void ShardCall::noteLimit(const Running &attempt, bool answered)
+void ShardCall::recordLimitOutcome(const Running &attempt, bool answered)
 {
     if (!attempt.limit.has_value() || this->parameters.workLimit == nullptr) {
         return;
@@ -241,19 +242,19 @@
 
 void ShardCall::handleReply(const BackendReply &incoming, const Running &attempt)
 {
-    this->noteLimit(attempt, incoming.isSuccess());
+    this->recordLimitOutcome(attempt, incoming.isSuccess());
     if (incoming.notExecuted || incoming.wrongBackend) {
         ++this->refusals;
         if (!incoming.wrongBackend) {
             this->refusedBy.push_back(attempt.backend);
         }
-        this->reason = incoming.wrongBackend ? "the address has another backend server now" : "the backend server refused";
+        this->reason = incoming.wrongBackend ? "the address belongs to another backend server now" : "the backend server refused";
         this->retryOrFinish(CallState::NotRun);
         return;
     }
     ++this->executionCount;
     const bool goodSuccess = incoming.isSuccess() && !incoming.signature.empty();
-    // What is no success is final for the caller when the request itself is at fault, and worth another try otherwise.
+    // An unsuccessful reply is final if the request itself is at fault; otherwise another backend server is worth a try.
     const bool worthRetry = !goodSuccess && (incoming.isSuccess() || incoming.message.status >= 500);
     this->answer = incoming;
     this->answerLatency = this->timers.now() - attempt.startedAt;
@@ -268,13 +269,13 @@
 void ShardCall::retryOrFinish(CallState otherwise)
 {
     if (!this->running.empty()) {
-        // Another attempt is still under way.
+        // Another attempt is still in flight.
         return;
     }
     const bool nothingRan = this->executions() == 0;
     const bool allowed = (this->parameters.route->idempotent || nothingRan) && this->refusals < MaximumRefusals && this->mayTryAnother();
     const bool wasSent = otherwise != CallState::NotRun || this->refusals > 0;
-    // Once all have refused, those that only refused may be asked again: they did not run it.
+    // Once all backend servers were tried, those that refused may be chosen again, since they did not run the request.
     const auto choice = [this] {
         return this->pool.choose(this->wanted());
     };
@@ -298,7 +299,7 @@
     this->current = end;
     this->countRunning();
     this->abandonRunning(false);
-    // NOTE: The hook may destroy this call, so it is taken out first and nothing is touched afterwards.
+    // NOTE: The hook may destroy this call, so it is moved out first, and no member is accessed afterwards.
     const auto hook = std::exchange(this->finished, nullptr);
     if (hook) {
         hook();
@@ -366,12 +367,12 @@
 
 int ShardCall::executions() const
 {
-    return this->executionCount + this->elsewhere;
+    return this->executionCount + this->relayedHedges;
 }
 
 std::optional<Core::Duration> ShardCall::brokeAfter() const
 {
-    return this->lastBreak;
+    return this->lastBreakAfter;
 }
 
 const std::string &ShardCall::failureReason() const
--- a/Libraries/LibGateway/ShardCall.h
+++ b/Libraries/LibGateway/ShardCall.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// One request to one service, over as many backend servers as its route allows:
-// the first attempt, a hedge when it is late, a retry when it failed.
+// A request to one service, sent to as many of its backend servers as the route
+// allows: the first attempt, a hedge when that is late, a retry when it failed.
 
 #pragma once
 
@@ -15,61 +15,60 @@
 namespace Gateway
 {
 
-/** What stays the same for all shards of a request. Outlives its calls. */
+/** Parameters shared by all calls of a request. Must outlive the calls. */
 struct CallParameters {
     const CallerRequest *request{nullptr};
     const Fleet::Route *route{nullptr};
-    /** The caller gives up then. */
+    /** The caller stops waiting at this time. */
     Core::Instant deadline;
-    /** Nothing is held for longer than until then. */
+    /** The request and its calls end at this time at the latest. */
     Core::Instant expiresAt;
-    /** An answer should leave then to be in time. */
+    /** An answer should be sent at this time to reach the caller within the target latency. */
     Core::Instant targetAt;
-    /** What such a request usually takes. */
+    /** Median latency of such requests. */
     Core::Duration typicalLatency{0};
-    /** After this long without a reply an attempt is hedged. */
+    /** Time without a reply after which an attempt is hedged. */
     Core::Duration hedgeDelay{0};
     Urgency urgency;
-    /** Where a search leaves without those of its shards that are late; nullptr elsewhere. */
+    /** Limits the work on a search that is answered at its target without its late shards; nullptr for other requests. */
     WorkLimit *workLimit{nullptr};
-    /** Those that are asked before any others while they are sound, in this order. */
+    /** Backend servers that are chosen before all others, in this order, as long as they are healthy. */
     std::vector<BackendName> preferred;
-    /** Where the request may be served. It may become narrower while the request is under way, never wider. */
+    /** Regions where the request may be served. May be restricted while the request is in flight, but never extended. */
     Fleet::AllowedRegions allowedRegions;
 };
 
-/** Where a call stands. */
+/** State of a call. */
 enum class CallState {
-    /** Waits for a connection to a backend server. */
+    /** Waits for free capacity at a backend server. */
     Waiting,
-    UnderWay,
-    /** A good reply is there. */
+    InFlight,
+    /** Received a successful reply. */
     Answered,
-    /** A backend server answered with a failure that may be passed on. */
+    /** Received an error response that may be forwarded. */
     FailedWithReply,
-    /** No reply; it may have run. */
+    /** No reply was received; the request may have run. */
     Failed,
-    /** As Failed, but the request has most likely not arrived. */
+    /** Like Failed, but the request has most likely not reached the backend server. */
     FailedUnacknowledged,
-    /** It did not run anywhere and will not. */
+    /** The request did not run anywhere and will not run. */
     NotRun,
 };
 
-/** Whether a state is final. */
 [[nodiscard]] inline bool isFinished(CallState state)
 {
-    return state != CallState::Waiting && state != CallState::UnderWay;
+    return state != CallState::Waiting && state != CallState::InFlight;
 }
 
-/** What a look at a late call finds. */
-struct HedgeLook {
-    /** Where a hedge should go now, or nullptr. */
+/** Result of ShardCall::checkHedge(). */
+struct HedgeCheck {
+    /** Backend server for a hedge that is due now; nullptr if none is due or possible. */
     Backend *candidate{nullptr};
-    /** When to look again without one; nothing when there is nothing to wait for. */
-    std::optional<Core::Instant> lookAgainAt;
+    /** Time of the next check if there is no candidate; nullopt if no hedge will become due. */
+    std::optional<Core::Instant> nextCheckAt;
 };
 
-/** Runs until it is finished or cancelled. */
+/** One request to one service. Runs until it has ended or is cancelled. */
 class ShardCall
 {
 public:
@@ -79,49 +78,53 @@
     ShardCall &operator=(const ShardCall &) = delete;
 
     /**
-     * What another gateway did before: runs count against what the route allows, any send makes the next one a repeat,
-     * and a request that is `counted` is not counted again. To be called before start().
+     * Records what other gateways did for this call: `executions` count against the route's attempt limit, any earlier send makes the next one a repeat,
+     * and a request that is `counted` is not counted again in the retry budget. Must be called before start().
      */
-    void countEarlier(int executions, int sends, bool counted);
+    void recordEarlierAttempts(int executions, int sends, bool counted);
 
-    /** As countEarlier() for a call that another gateway hedges here and has paid the repeat for. */
-    void countPaidRepeat(int executions);
+    /**
+     * Records that another gateway hedges its call here and has consumed the repeat, so that start() consumes none. `executions` as in
+     * recordEarlierAttempts().
+     */
+    void recordConsumedRepeat(int executions);
 
-    /** Sends the first attempt, or waits for room. `finishedHook` is called once, from here or later. */
+    /** Sends the first attempt, or waits for free capacity. `finishedHook` is called at most once, possibly before start() returns, and not after cancel(). */
     void start(std::function<void()> finishedHook);
 
-    /** Sends a hedge if one is due. Returns when to look again; nothing when there is nothing to wait for. */
+    /** Sends a hedge if one is due. Returns the time of the next check, or nullopt if there is nothing to wait for. */
     std::optional<Core::Instant> hedgeIfDue();
 
-    /** Whether a hedge is due, and where it should go. */
-    [[nodiscard]] HedgeLook lookForHedge();
-    /** Sends a hedge to the candidate of a look, unless the budget is used up. */
+    /** Returns whether a hedge is due, and to which backend server it should be sent. */
+    [[nodiscard]] HedgeCheck checkHedge();
+    /** Sends a hedge to the candidate that checkHedge() returned, unless the retry budget is exhausted. */
     void hedge(Backend &candidate);
 
     /**
-     * Lets another gateway send the hedge: pays the repeat and counts a send that may run. Returns whether there was a
-     * repeat left. cameBack() tells how it ended.
+     * Prepares a hedge that another gateway will send: consumes a repeat and counts an attempt that may run. Returns false if it must not be relayed: the
+     * retry budget is exhausted, or the late attempt has not been sent, so that sending from here is no repeat. relayedHedgeEnded() must follow when the
+     * hedge has ended.
      */
-    [[nodiscard]] bool hedgeElsewhere();
-    /** `executions` of the hedge elsewhere may have run; none of it is under way any more. */
-    void cameBack(int executions);
+    [[nodiscard]] bool reserveRelayedHedge();
+    /** Records the end of a relayed hedge, of which `executions` attempts may have run. */
+    void relayedHedgeEnded(int executions);
 
-    /** Gives up. Attempts under way are abandoned; the state says whether any may have run. */
+    /** Cancels the call and abandons its attempts in flight. Afterwards state() tells whether any of them may have run. */
     void cancel(bool callerGone);
 
     [[nodiscard]] CallState state() const;
     [[nodiscard]] const Core::ServiceName &service() const;
-    /** The reply, in states Answered and FailedWithReply. */
+    /** Returns the reply; valid in the states Answered and FailedWithReply. */
     [[nodiscard]] BackendReply &reply();
-    /** How long the answered attempt took. */
+    /** Returns how long the answered attempt took. */
     [[nodiscard]] Core::Duration latency() const;
     [[nodiscard]] int attempts() const;
     [[nodiscard]] int hedges() const;
-    /** Backend servers at which the request may have run; final once the call is finished. */
+    /** Returns the number of backend servers where the request may have run. The number is final once the call has ended. */
     [[nodiscard]] int executions() const;
-    /** How long after it was sent the last attempt broke whose answer is lost; nothing when none did. */
+    /** Returns the time from send to break of the last attempt whose answer was lost; nullopt if there was none. */
     [[nodiscard]] std::optional<Core::Duration> brokeAfter() const;
-    /** Why it failed, for logs. */
+    /** Returns why the last attempt failed, for logs. */
     [[nodiscard]] const std::string &failureReason() const;
 
 private:
@@ -129,7 +132,7 @@
         AttemptId id{0};
         BackendName backend;
         Core::Instant startedAt;
-        // Set when the backend server was told less time than the caller has.
+        // Set if the backend server was told less time than the caller has left.
         std::optional<Core::Duration> limit;
     };
 
@@ -139,7 +142,7 @@
     void waitForCapacity();
     void handleOutcome(const BackendName &backend, const AttemptOutcome &outcome);
     void handleReply(const BackendReply &incoming, const Running &attempt);
-    void noteLimit(const Running &attempt, bool answered);
+    void recordLimitOutcome(const Running &attempt, bool answered);
     void retryOrFinish(CallState otherwise);
     void finish(CallState end);
     [[nodiscard]] bool isLateHedgeable() const;
@@ -154,24 +157,24 @@
     CallState current{CallState::Waiting};
     std::function<void()> finished;
     std::vector<Running> running;
-    // Backend servers that are not asked again.
+    // Backend servers that are not chosen again.
     std::vector<BackendName> tried;
-    // Of these, those that refused the request and did not run it.
+    // Backend servers in `tried` that refused the request without running it.
     std::vector<BackendName> refusedBy;
-    // Attempts that may have run; bounded by the route.
+    // Attempts that may have run; limited by the route.
     int executionCount{0};
-    // Hedges that another gateway has under way.
-    int elsewhere{0};
+    // Hedges of this call that other gateways have in flight.
+    int relayedHedges{0};
     int sends{0};
     int earlierSends{0};
-    bool countedEarlier{false};
-    bool repeatIsPaid{false};
+    bool requestAlreadyCounted{false};
+    bool repeatAlreadyConsumed{false};
     int hedgeCount{0};
     int refusals{0};
     std::optional<std::uint64_t> waiter;
     BackendReply answer;
     Core::Duration answerLatency{0};
-    std::optional<Core::Duration> lastBreak;
+    std::optional<Core::Duration> lastBreakAfter;
     std::string reason;
     std::shared_ptr<int> alive{std::make_shared<int>(0)};
 };
--- a/Libraries/LibGateway/SingleRequest.cpp
+++ b/Libraries/LibGateway/SingleRequest.cpp
@@ -19,7 +19,7 @@
 void SingleRequest::startCalls()
 {
     if (!this->context.pool->hasEligible(this->call->service(), this->parameters.allowedRegions)) {
-        // Nobody could run it; check() refuses it at once.
+        // No backend server can run the request, so completeIfPossible() refuses it immediately.
         this->call->cancel(false);
         return;
     }
@@ -28,11 +28,11 @@
     });
 }
 
-void SingleRequest::check()
+void SingleRequest::completeIfPossible()
 {
     switch (this->call->state()) {
     case CallState::Waiting:
-    case CallState::UnderWay:
+    case CallState::InFlight:
         break;
     case CallState::Answered:
         this->context.latencies->add(this->call->latency());
@@ -49,14 +49,14 @@
     }
 }
 
-Core::Instant SingleRequest::lookAtCalls()
+Core::Instant SingleRequest::handleLateCalls()
 {
     auto next = this->call->hedgeIfDue().value_or(this->parameters.expiresAt);
     if (this->call->state() != CallState::Waiting) {
         return next;
     }
-    // Refused early rather than served late: the caller comes back, perhaps to a gateway with room.
-    const auto roomUntil = this->arrivedAt + scaled(this->route.targetLatency, this->context.settings->roomWaitShare);
+    // Without free capacity the request is refused early instead of being served late: the caller retries, possibly at a gateway with free capacity.
+    const auto roomUntil = this->arrivedAt + scaled(this->route.targetLatency, this->context.settings->capacityWaitShare);
     if (this->now() >= roomUntil) {
         this->call->cancel(false);
         return next;
--- a/Libraries/LibGateway/SingleRequest.h
+++ b/Libraries/LibGateway/SingleRequest.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A request that one backend server answers; its reply goes back unchanged.
+// A request that is answered by a single backend server, whose reply is forwarded
+// unchanged.
 
 #pragma once
 
@@ -12,7 +13,7 @@
 namespace Gateway
 {
 
-/** Goes to one service. */
+/** A request to one service. */
 class SingleRequest final : public RoutedRequest
 {
 public:
@@ -24,8 +25,8 @@
 
 protected:
     void startCalls() override;
-    void check() override;
-    [[nodiscard]] Core::Instant lookAtCalls() override;
+    void completeIfPossible() override;
+    [[nodiscard]] Core::Instant handleLateCalls() override;
     void cancelCalls(bool callerIsGone) override;
     void describe(RequestSummary &summary) const override;
 
--- a/Libraries/LibGateway/SlackShares.cpp
+++ b/Libraries/LibGateway/SlackShares.cpp
@@ -10,7 +10,7 @@
 namespace Gateway
 {
 
-SlackShares::SlackShares(SlackShareOptions options, Core::Instant start) : options(options), lastOwned(start)
+SlackShares::SlackShares(SlackShareOptions options, Core::Instant start) : options(options), cellsLastOwnedAt(start)
 {
 }
 
@@ -18,7 +18,7 @@
 {
     this->gateways = std::max(1, all);
     if (cellsHaveOwners) {
-        this->lastOwned = now;
+        this->cellsLastOwnedAt = now;
     } else {
         this->ownSince.clear();
     }
@@ -36,19 +36,19 @@
 
 double SlackShares::shareOfShard(const CellKey &cell, std::size_t zones, bool inOwnZone, Core::Instant now) const
 {
-    // S2
-    if (now - this->lastOwned >= 2 * this->options.window) {
+    // Rule S2.
+    if (now - this->cellsLastOwnedAt >= 2 * this->options.window) {
         return this->shareOfOther();
     }
-    const double equalPart = (1.0 - this->options.ownersPart) / this->gateways;
-    // S1
+    const double equalShare = (1.0 - this->options.ownersShare) / this->gateways;
+    // Rule S1.
     const auto owned = this->ownSince.find(cell);
     const bool isOwner = inOwnZone && owned != this->ownSince.end() && now - owned->second >= this->options.window;
     if (!isOwner) {
-        return equalPart;
+        return equalShare;
     }
     const auto owners = this->options.ownersInZone * std::max<std::size_t>(1, zones);
-    return equalPart + this->options.ownersPart / static_cast<double>(owners);
+    return equalShare + this->options.ownersShare / static_cast<double>(owners);
 }
 
 double SlackShares::shareOfOther() const
--- a/Libraries/LibGateway/SlackShares.h
+++ b/Libraries/LibGateway/SlackShares.h
@@ -3,11 +3,12 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Which part of a service's slack of repeats belongs to this gateway. The slack
-// holds for the whole deployment, and each gateway spends its part without a word
-// to the others. In equal parts for hundreds of gateways it is a repeat or two for
-// each, spent by none of those that don't ask the service. So where the shards of a
-// zone have owners (CellMap), half of it is theirs. Pure.
+// Computes this gateway's share of a service's slack of repeats. The slack holds
+// for the whole deployment, and each gateway consumes its share without asking
+// the others. With hundreds of gateways an equal share is one or two repeats, and
+// those of gateways that do not use the service stay unused. Where the shards of
+// a zone have owners (CellMap), half of the slack is therefore reserved for them.
+// Does no I/O.
 
 #pragma once
 
@@ -22,48 +23,54 @@
 namespace Gateway
 {
 
-/** A cell of this gateway's zone: the shards of a search that it is a cell of, and its number. */
+/** A cell of this gateway's zone: the number of shards in the searches that it divides, and the number of the cell. */
 using CellKey = std::pair<std::size_t, std::size_t>;
 
-/** How the slack is divided. */
+/** How the slack is divided among gateways. */
 struct SlackShareOptions {
-    /** The owners' part of it. The rest is for all gateways alike, since each may have to ask for itself what an owner failed to. */
-    double ownersPart{0.5};
-    /** Owners of a cell in one zone that share it: as many as are asked at a search in six seconds for each of 300 gateways. */
+    /**
+     * Fraction of the slack for owners. The rest is divided equally among all gateways, since each of them may have to send to a shard itself when an
+     * owner failed.
+     */
+    double ownersShare{0.5};
+    /** Owners of a cell in one zone that share the slack: as many as are used for a search in six seconds by each of 300 gateways. */
     std::size_t ownersInZone{4};
-    /** The window that the slack is counted in. */
+    /** Length of the sliding window in which the slack is counted. */
     Core::Duration window{Core::seconds(10)};
 };
 
 /**
- * The parts of all gateways add up to at most 1 in any window, as long as they know the same gateways:
- * S1. A gateway has an owner's part only once it was an owner for a whole window, and loses it at once; what the owner before it spent is out
- *     of the window by then.
- * S2. A gateway has an equal part of the whole slack only once it has known for two windows that there are no owners.
+ * As long as all gateways know the same set of gateways, their shares add up to at most 1 in any window. Two rules ensure this:
+ * S1. A gateway gets an owner's share only after it has been an owner for a whole window, and loses it immediately when it is no longer an owner. By then the
+ *     repeats of the owner before it have left the window.
+ * S2. A gateway gets an equal share of the whole slack only after it has known for two windows that there are no owners.
  */
 class SlackShares
 {
 public:
     SlackShares(SlackShareOptions options, Core::Instant start);
 
-    /** How many gateways there are, and whether they are so many that cells have owners. */
+    /** Updates the number of gateways, and whether there are enough of them for cells to have owners. */
     void setGateways(int all, bool cellsHaveOwners, Core::Instant now);
 
-    /** The cells that this gateway owns, as far as it shares their slack. */
+    /** Updates the cells of which this gateway is one of the owners that share the slack. */
     void setOwnCells(const std::set<CellKey> &cells, Core::Instant now);
 
-    /** The part for a shard of a cell that has or had backend servers in so many zones; `inOwnZone` when this one is among them. */
+    /**
+     * Returns the share for a shard of `cell`. `zones` is the number of zones in which the shard has or had backend servers; `inOwnZone` tells whether
+     * this gateway's zone is one of them.
+     */
     [[nodiscard]] double shareOfShard(const CellKey &cell, std::size_t zones, bool inOwnZone, Core::Instant now) const;
 
-    /** The part for a service that is no shard. */
+    /** Returns the share for a service that is not a shard. */
     [[nodiscard]] double shareOfOther() const;
 
 private:
     SlackShareOptions options;
     int gateways{1};
-    // When there were last so many gateways that cells have owners; the start counts, since little is known then.
-    Core::Instant lastOwned;
-    // Since when this gateway owns a cell without a break.
+    // When there were last enough gateways for cells to have owners. Initially the start time, since the number of gateways is not yet known then.
+    Core::Instant cellsLastOwnedAt;
+    // Since when this gateway has owned each cell without interruption.
     std::map<CellKey, Core::Instant> ownSince;
 };
 
--- a/Tests/Incidents/TestSurplusAnswers.cpp
+++ b/Tests/Incidents/TestSurplusAnswers.cpp
@@ -3,20 +3,22 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What was seen: a search was answered with success, shards left out, and a body
-// that lacked records of a shard which it named as included. Backend servers
+// Guards against using a duplicate answer as the answer to another send.
+//
+// What was seen: a search was answered with success and some shards missing, but
+// the body lacked records of a shard that was listed as included. Backend servers
 // answered some requests twice, the second time late and with another body.
 //
-// How it came about: an owner was asked for a part and left at its target without
-// the shard. The shard's answer came a moment later, over a connection that was
-// kept. The owner was asked for the shard again, for the same search, and sent the
-// request over that connection; the second answer to the first attempt came next
-// and was taken for the answer to the second attempt.
+// How it came about: an owner sent its part at the target without a late shard.
+// The shard's answer arrived a moment later, over a connection that was kept
+// alive. The owner was asked for the same shard of the same search again, and
+// sent the request over that connection. The second answer to the first attempt
+// arrived next and was used as the answer to the second attempt.
 //
-// The cause: answers were matched to sends by the request's id, which names a
-// caller's request and not a send. What proved it: one signature was taken twice
-// at one gateway, with two bodies, each time on a connection that had carried the
-// id before, and never without doubled answers.
+// Cause: answers were matched to sends by the request id, which identifies a
+// caller's request but not a send. Evidence: a gateway received one signature
+// twice, with two bodies, each time on a connection that had sent the same id
+// before, and never without duplicate answers.
 
 #include <LibRpc/Serialization.h>
 #include <Support/DuplicatingBackend.h>
@@ -30,9 +32,9 @@
 namespace
 {
 
-const std::string wholeRecord = "a record of 16 b";
+const std::string completeRecord = "a record of 16 b";
 
-/** A fixture with one stuttering backend server, the only one of its service. */
+/** A fixture with one duplicating backend server, the only one of its service. */
 class DuplicatingFixture : public GatewayFixture
 {
 public:
@@ -42,8 +44,8 @@
         announce(this->pool, service, "server", this->server->endpoint, "here");
     }
 
-    /** Asks as another gateway does that wants the one shard. With `maximumMissing` it is answered without the shard if that is late. */
-    [[nodiscard]] Protocol::PartialAnswer askPart(const std::string &id, Core::Duration timeLeftToTarget, std::size_t maximumMissing)
+    /** Requests the shard as another gateway does. With `maximumMissing` set to 1 the part is sent without the shard if that is late. */
+    [[nodiscard]] Protocol::PartialAnswer requestPart(const std::string &id, Core::Duration timeLeftToTarget, std::size_t maximumMissing)
     {
         this->relayParameters = Gateway::RelayParameters{.timeLeftToTarget = timeLeftToTarget,
             .timeLeftToDeadline = Core::seconds(5),
@@ -58,15 +60,15 @@
     std::shared_ptr<DuplicatingBackend> server;
 };
 
-/** A run's own answer. Its signature and its body name the run. */
-Wire::Response wholeAnswer(const DuplicatingRun &run)
+/** A successful answer with a complete record; its signature contains the number of the run. */
+Wire::Response completeAnswer(const DuplicatingRun &run)
 {
-    return successResponse(run.request, "signature of run " + std::to_string(run.number), wholeRecord);
+    return successResponse(run.request, "signature of run " + std::to_string(run.number), completeRecord);
 }
 
 }
 
-Test(SurplusAnswers, aSearchAskedAgainIsNotGivenTheSecondAnswerToItsFirstAttempt)
+Test(SurplusAnswers, retriedPartDiscardsSecondAnswerToFirstAttempt)
 {
     DuplicatingFixture fixture("shard");
     fixture.route().shards = {Core::ServiceName("shard")};
@@ -74,24 +76,24 @@
     static constexpr int LateRun = 2;
     fixture.server->onRun = [](const DuplicatingRun &run) {
         if (run.number != LateRun) {
-            run.connection->write(wholeAnswer(run));
+            run.connection->write(completeAnswer(run));
         }
     };
-    cr_assert_eq(fixture.askPart("opens a connection", Core::seconds(2), 0).signatures.size(), 1);
-    cr_assert_eq(fixture.askPart("x", Core::milliseconds(1), 1).missing.size(), 1, "the part leaves at its target without the late shard");
+    cr_assert_eq(fixture.requestPart("opens a connection", Core::seconds(2), 0).signatures.size(), 1);
+    cr_assert_eq(fixture.requestPart("x", Core::milliseconds(1), 1).missing.size(), 1, "the part is sent at its target without the late shard");
     cr_assert(fixture.runUntil([&fixture] {
         return fixture.server->runs.size() == LateRun;
     }));
     const auto late = fixture.server->runs.back();
-    fixture.server->answerTwice(late, wholeAnswer(late), "no");
+    fixture.server->answerTwice(late, completeAnswer(late), "no");
     fixture.settle();
-    const auto again = fixture.askPart("x", Core::seconds(2), 0);
-    cr_assert_eq(again.signatures.size(), 1);
-    cr_assert_str_eq(again.signatures.front().c_str(), "signature of run 3");
-    cr_assert_str_eq(again.records.c_str(), wholeRecord.c_str(), "the part has the records of the run that it names");
+    const auto retried = fixture.requestPart("x", Core::seconds(2), 0);
+    cr_assert_eq(retried.signatures.size(), 1);
+    cr_assert_str_eq(retried.signatures.front().c_str(), "signature of run 3");
+    cr_assert_str_eq(retried.records.c_str(), completeRecord.c_str(), "the part contains the records of the run whose signature it lists");
 }
 
-Test(SurplusAnswers, aSecondRefusalDoesNotSendANonRepeatableRequestTwice)
+Test(SurplusAnswers, duplicateRefusalDoesNotRunNonIdempotentRequestTwice)
 {
     DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
@@ -104,51 +106,51 @@
             return;
         }
         ++executed;
-        run.connection->write(wholeAnswer(run));
+        run.connection->write(completeAnswer(run));
     };
     const auto answer = fixture.ask("x", "POST");
     fixture.settle();
-    cr_assert_eq(executed, 1, "ran %d times", executed);
+    cr_assert_eq(executed, 1, "executed %d times", executed);
     cr_assert_eq(answer.status, 200);
-    cr_assert_str_eq(answer.body.c_str(), wholeRecord.c_str());
+    cr_assert_str_eq(answer.body.c_str(), completeRecord.c_str());
 }
 
-Test(SurplusAnswers, anAnswerThatDoesNotSayWhoseItIsIsNobodys)
+Test(SurplusAnswers, answerWithoutReplyKeyIsDiscarded)
 {
     DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
     fixture.server->onRun = [](const DuplicatingRun &run) {
         run.connection->write(Wire::Response{.status = 200, .headers = {{"Response-Signature", "none"}}, .body = "whose?"});
-        run.connection->write(wholeAnswer(run));
+        run.connection->write(completeAnswer(run));
     };
     const auto answer = fixture.ask("x");
-    cr_assert_str_eq(answer.body.c_str(), wholeRecord.c_str());
+    cr_assert_str_eq(answer.body.c_str(), completeRecord.c_str());
 }
 
-Test(SurplusAnswers, aRequestWithoutAnIdIsNotGivenAnotherRequestsAnswer)
+Test(SurplusAnswers, requestWithoutIdDiscardsAnswerToAnotherRequest)
 {
     DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
     fixture.server->onRun = [&fixture](const DuplicatingRun &run) {
         fixture.server->answerTwice(run, successResponse(run.request, "signature", std::to_string(run.number)), "no");
     };
-    const auto named = fixture.ask("x");
-    cr_assert_str_eq(named.body.c_str(), "1");
-    const auto unnamed = fixture.ask("");
-    cr_assert_str_eq(unnamed.body.c_str(), "2");
-    const auto unnamedAgain = fixture.ask("");
-    cr_assert_str_eq(unnamedAgain.body.c_str(), "3");
+    const auto withId = fixture.ask("x");
+    cr_assert_str_eq(withId.body.c_str(), "1");
+    const auto withoutId = fixture.ask("");
+    cr_assert_str_eq(withoutId.body.c_str(), "2");
+    const auto withoutIdAgain = fixture.ask("");
+    cr_assert_str_eq(withoutIdAgain.body.c_str(), "3");
 }
 
-Test(SurplusAnswers, askingAgainNeitherStopsNorTakesMoreConnectionsAtTheLimit)
+Test(SurplusAnswers, repeatedRequestIdSucceedsWithinConnectionLimit)
 {
     DuplicatingFixture fixture("service");
     fixture.route().targets = {{Core::ServiceName("service"), 1.0}};
     fixture.server->onRun = [&fixture](const DuplicatingRun &run) {
         fixture.server->answerTwice(run, successResponse(run.request, "signature", std::to_string(run.number)), "no");
     };
-    const int asks = 3 * GatewayFixture::poolOptions(0.0).undeclaredCap;
-    for (int number = 1; number <= asks; ++number) {
+    const int requestCount = 3 * GatewayFixture::poolOptions(0.0).undeclaredCap;
+    for (int number = 1; number <= requestCount; ++number) {
         const auto answer = fixture.ask("x");
         const auto expected = std::to_string(number);
         cr_assert_str_eq(answer.body.c_str(), expected.c_str());
@@ -156,8 +158,8 @@
     }
 }
 
-// All parts of a search carry its id, so gateways name each send of a part.
-Test(SurplusAnswers, aGatewaysAnswerToAnotherPartOfTheSearchIsPassedOver)
+// All parts of a search have the same request id, so gateways add an id to each send of a part.
+Test(SurplusAnswers, partWithSendIdOfAnotherPartIsDiscarded)
 {
     GatewayFixture fixture;
     const Core::ServiceName shard("shard");
@@ -174,19 +176,19 @@
     gateway->listen();
     GatewayFixture::announce(fixture.relays, Gateway::relayService("there").value(), "gateway", gateway->endpoint, "there");
     gateway->onRun = [&part](const DuplicatingRun &run) {
-        auto ofAnother = part(run.request, "not the part's..");
-        for (auto &header : ofAnother.headers) {
+        auto partOfAnotherSend = part(run.request, "not the part's..");
+        for (auto &header : partOfAnotherSend.headers) {
             header.value += header.name == Gateway::RelayHeader::Send ? "0" : "";
         }
-        run.connection->write(ofAnother);
-        run.connection->write(part(run.request, wholeRecord));
+        run.connection->write(partOfAnotherSend);
+        run.connection->write(part(run.request, completeRecord));
     };
     const auto answer = fixture.ask("x");
-    cr_assert_str_eq(answer.body.c_str(), wholeRecord.c_str());
+    cr_assert_str_eq(answer.body.c_str(), completeRecord.c_str());
 }
 
-// A gateway of a release that does not name sends can't read what it is asked, and refuses; so the work is done here.
-Test(SurplusAnswers, aRefusalWithoutANameByAnotherGatewayIsTaken)
+// A gateway of a release without send ids cannot read the parameters of a part and refuses it, so the shard is sent directly.
+Test(SurplusAnswers, gatewayRefusalWithoutSendIdIsAccepted)
 {
     GatewayFixture fixture;
     const Core::ServiceName shard("shard");
@@ -194,22 +196,22 @@
     fixture.route().topRecords = 1;
     fixture.relayed = {shard};
     fixture.add("shard", "server", [](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-        exchange->respond(successResponse(request, "signature", wholeRecord));
+        exchange->respond(successResponse(request, "signature", completeRecord));
     });
     fixture.addGateway([](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
         exchange->respond(Wire::Response{.status = 503, .headers = {{"Request-Id", *Wire::findHeader(request.headers, "Request-Id")}}, .body = {}});
     });
     const auto answer = fixture.ask("x");
     cr_assert_eq(answer.status, 200);
-    cr_assert_str_eq(answer.body.c_str(), wholeRecord.c_str());
+    cr_assert_str_eq(answer.body.c_str(), completeRecord.c_str());
 }
 
-// Any order of sends, answers and abandoned sends, of few ids over few connections, where every answer comes twice.
-Test(SurplusAnswers, everyAttemptGetsItsOwnAnswerInRandomPlans)
+// Random sequences of sends, answers and abandoned attempts, with few request ids on few connections, where every answer is sent twice.
+Test(SurplusAnswers, everyAttemptReceivesItsOwnAnswerInRandomRuns)
 {
-    static constexpr int Plans = 8;
+    static constexpr int Seeds = 8;
     static constexpr int Steps = 120;
-    for (int seed = 1; seed <= Plans; ++seed) {
+    for (int seed = 1; seed <= Seeds; ++seed) {
         DuplicatingFixture fixture("service");
         std::mt19937 random(static_cast<std::mt19937::result_type>(seed));
         const auto below = [&random](std::size_t limit) {
@@ -254,6 +256,6 @@
             }
             fixture.settle(Core::milliseconds(2));
         }
-        cr_assert_gt(answered, Steps / 10, "seed %d: too few answers to show anything", seed);
+        cr_assert_gt(answered, Steps / 10, "seed %d: too few answers for a meaningful test", seed);
     }
 }
--- a/Tests/LibGateway/TestEarlyOutcomes.cpp
+++ b/Tests/LibGateway/TestEarlyOutcomes.cpp
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A send that fails while it is made: the backend server has reset the kept
-// connection, and the loop has not heard of that yet. Its outcome comes before the
-// call knows the attempt that it belongs to.
+// Tests of a send that fails synchronously: the backend server has reset the
+// kept-alive connection, and the event loop has not processed that yet. The
+// outcome is reported before the call knows the id of the attempt.
 
 #include <Support/DuplicatingBackend.h>
 #include <Support/GatewayFixture.h>
@@ -17,7 +17,7 @@
 namespace
 {
 
-/** A fixture whose only backend server has a kept connection. */
+/** A fixture whose only backend server has a kept-alive connection. */
 class KeptConnectionFixture : public GatewayFixture
 {
 public:
@@ -33,7 +33,7 @@
         this->settle();
     }
 
-    /** Resets the connection. The pool hears of it when the loop runs next. */
+    /** Resets the connection. The pool is notified when the event loop runs next. */
     void resetConnection() const
     {
         auto &socket = this->server->connections.front()->socket;
@@ -47,7 +47,7 @@
 
 }
 
-Test(EarlyOutcomes, aRequestWhoseSendFailsAtOnceIsNotHeldUntilItsTimeIsUp)
+Test(EarlyOutcomes, requestFailsImmediatelyIfSendFailsSynchronously)
 {
     KeptConnectionFixture fixture;
     fixture.route().idempotent = false;
@@ -55,16 +55,16 @@
     fixture.resetConnection();
     const auto answer = fixture.ask("x", "POST");
     cr_assert(fixture.summary.has_value());
-    cr_assert_eq(fixture.summary->outcome, Gateway::RequestOutcome::Failed, "it is %s", Gateway::outcomeName(fixture.summary->outcome));
+    cr_assert_eq(fixture.summary->outcome, Gateway::RequestOutcome::Failed, "the outcome is %s", Gateway::outcomeName(fixture.summary->outcome));
     cr_assert_eq(answer.status, 502);
 }
 
-Test(EarlyOutcomes, aRepeatableRequestWhoseSendFailsAtOnceIsTriedElsewhereWithoutAHedge)
+Test(EarlyOutcomes, idempotentRequestIsRetriedNotHedgedIfSendFailsSynchronously)
 {
     KeptConnectionFixture fixture;
     fixture.route().idempotent = true;
     fixture.route().maximumAttempts = 2;
-    // Farther away, so that the first send goes over the kept connection.
+    // In another region, so that the first attempt is sent over the kept-alive connection.
     fixture.addTo(
         fixture.pool,
         "service",
@@ -80,5 +80,5 @@
     }));
     cr_assert_eq(fixture.answer->status, 200);
     cr_assert_eq(fixture.summary->attempts, 2);
-    cr_assert_eq(fixture.summary->hedges, 0, "it was taken for late, not for failed");
+    cr_assert_eq(fixture.summary->hedges, 0, "the failed attempt was treated as late");
 }
--- a/Tests/LibGateway/TestMergedBodies.cpp
+++ b/Tests/LibGateway/TestMergedBodies.cpp
@@ -3,19 +3,21 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Protects what a caller of a search is promised: the body of every success is
-// exactly the greatest records of the parts whose signatures it names, falling; no
-// shard is named twice, and those that are missing are counted. The same holds for
-// what another gateway gets that asks for a part, but for the records that it said
-// it needs none of, and the missing shards are named. Gateways leave out
-// of a part what the asker can't want any more, while answers that the asker holds
-// may be replaced, given up or asked for again. So a seed decides which server and
-// which gateway answers next, with what, or never, and hedges go out in between.
-// Every run of a shard has records of its own, so a record of a run that is not
-// named, or one that was left out too early, shows.
+// Checks what the answer to a search promises: the body of each success contains
+// exactly the greatest records of the parts whose signatures are listed, in
+// descending order. No shard is listed twice, and missing shards are counted. The
+// same holds for a part that another gateway requested, except that records below
+// its minimum record are left out, and missing shards are listed by name.
 //
-// A seed decides what is answered and in which order. When a hedge is due is up to
-// the clock, so a play may differ a little from one run to the next.
+// Gateways leave out records that the requesting gateway cannot need any more,
+// while answers that it already has may be replaced, cancelled or retried. The
+// tests therefore run random searches: a seed decides which server and which
+// gateway answers next, with what, or never, and hedges are sent in between. Each
+// run of a shard has records of its own, so a record of an unlisted run is
+// detected, and so is one that was left out too early.
+//
+// The seed decides the answers and their order. The time when a hedge is due
+// depends on the clock, so a search may differ slightly between runs.
 
 #include <LibGateway/PackedSignatures.h>
 #include <LibGateway/RecordMerge.h>
@@ -33,39 +35,39 @@
 namespace
 {
 
-// Of a whole play, after which everything that is still waited for is answered.
-constexpr int MostSteps = 70;
+// Steps of a search after which everything that still waits is answered.
+constexpr int MaximumSteps = 70;
 
-/** What plays came to, so that it is known that they show something. */
-struct PlayCounts {
+/** Totals over all searches, to check that the interesting cases occurred. */
+struct SearchCounts {
     int successes{0};
     int partial{0};
-    /** Parts that were asked for with a least record, and of these the ones that left records out and are named in a success. */
-    int limited{0};
+    /** Parts requested with a minimum record, and searches answered with a part that left out records because of it. */
+    int withMinimum{0};
     int shortened{0};
-    /** Searches with more than one such part, and shards that are named by a part though they were answered here, too. */
-    int limitedAgain{0};
+    /** Searches with more than one part that was requested with a minimum record, and shards that were answered directly but are listed by a part. */
+    int withSeveralMinimums{0};
     int replaced{0};
 };
 
-/** One run of a shard, known by its signature. */
+/** One run of a shard, identified by its signature. */
 struct ShardRun {
     std::string shard;
     std::string records;
-    bool wasHere{false};
-    // It left records out, because of the least record.
+    bool wasDirect{false};
+    // The part with this run left out records below the minimum record.
     bool inShortenedPart{false};
 };
 
 /** A request that a server or a gateway has not answered yet. */
-struct Waiting {
-    // Empty at a gateway.
+struct HeldRequest {
+    // Empty for a request to a gateway.
     std::string shard;
     Wire::Request request;
     Wire::ExchangePointer exchange;
 };
 
-/** The greatest records, by other means than those that are tested. */
+/** Returns the greatest records. Implemented independently of the code under test. */
 std::string greatest(const std::vector<std::string> &bodies, std::size_t count)
 {
     std::vector<std::string> records;
@@ -83,67 +85,67 @@
     return merged;
 }
 
-/** What a success says, to a caller or to another gateway. */
-struct Said {
+/** Content of a successful answer to a caller or to another gateway. */
+struct ParsedAnswer {
     std::vector<std::string> signatures;
     std::size_t missing{0};
-    // Another gateway is told which ones.
+    // Only in answers to another gateway.
     std::vector<std::string> missingShards;
     std::string records;
 };
 
-Said readCallersAnswer(const Wire::Response &answer)
+ParsedAnswer parseCallerAnswer(const Wire::Response &answer)
 {
-    Said said;
+    ParsedAnswer parsed;
     for (const auto &header : answer.headers) {
         if (Wire::sameName(header.name, "Part-Stamps")) {
             for (const auto &named : Core::splitList(header.value)) {
-                said.signatures.push_back(named.substr(named.find_first_not_of(' ')));
+                parsed.signatures.push_back(named.substr(named.find_first_not_of(' ')));
             }
         }
     }
-    said.missing = std::strtoull(Wire::findHeader(answer.headers, "Missing-Parts")->c_str(), nullptr, 10);
-    said.records = answer.body;
-    return said;
+    parsed.missing = std::strtoull(Wire::findHeader(answer.headers, "Missing-Parts")->c_str(), nullptr, 10);
+    parsed.records = answer.body;
+    return parsed;
 }
 
-Said readPart(const Wire::Response &answer)
+ParsedAnswer parsePart(const Wire::Response &answer)
 {
     auto part = Rpc::deserialize<Protocol::PartialAnswer>(answer.body);
     cr_assert(part.has_value() && Gateway::unpackSignatures(part.value()).has_value());
-    Said said{.signatures = part->signatures, .missing = part->missing.size(), .missingShards = {}, .records = part->records};
+    ParsedAnswer parsed{.signatures = part->signatures, .missing = part->missing.size(), .missingShards = {}, .records = part->records};
     for (const auto &shard : part->missing) {
-        said.missingShards.push_back(shard.serviceName);
+        parsed.missingShards.push_back(shard.serviceName);
     }
-    return said;
+    return parsed;
 }
 
-/** What a play is about. */
-enum class Theme {
+/** Which events a random search contains. */
+enum class Scenario {
     Anything,
-    /** Hedges go out in turn, and answers that are here already are replaced by those of parts that come later; nothing fails. */
+    /** Hedges are sent several times, and direct answers are replaced by those of parts that arrive later. Nothing fails. */
     Replacements,
 };
 
-/** One search over shards, servers and gateways that its seed decides about. */
-class Play : public GatewayFixture
+/** One search over shards, servers and gateways whose behaviour depends on the seed. */
+class RandomSearch : public GatewayFixture
 {
 public:
-    Play(Theme theme, std::uint64_t seed) : theme(theme), seed(seed), random(seed)
+    RandomSearch(Scenario scenario, std::uint64_t seed) : scenario(scenario), seed(seed), random(seed)
     {
         this->route().idempotent = true;
         this->route().maximumAttempts = this->between(2, 4);
         this->route().topRecords = static_cast<std::size_t>(this->chance(80, 100) ? this->between(25, 40) : this->between(1, 24));
         this->route().minimumCoverage = 0.1 * this->between(2, 10);
-        // Either the target comes while much is open, and what is never answered is given up; or it stays far away, and hedges go on.
-        this->isShort = this->chance(30, 0);
-        this->route().targetLatency = this->isShort ? Core::milliseconds(60) : Core::seconds(8);
-        this->route().timeout = this->isShort ? Core::milliseconds(400) : Core::seconds(10);
+        // Either the target is reached while many shards are open, and what is never answered times out; or the target is far away, and hedges continue.
+        this->hasShortTarget = this->chance(30, 0);
+        this->route().targetLatency = this->hasShortTarget ? Core::milliseconds(60) : Core::seconds(8);
+        this->route().timeout = this->hasShortTarget ? Core::milliseconds(400) : Core::seconds(10);
         this->settings.hedgeFloor = Core::milliseconds(4);
         for (int count = 0; count < 30; ++count) {
             this->latencies.add(Core::milliseconds(1));
         }
-        this->richPercent = this->chance(40) ? 80 : 0;
+        this->manyRecordsPercent = this->chance(40) ? 80 : 0;
         this->addGateways("there");
         if (this->chance(50)) {
             this->addGateways("yonder");
@@ -161,8 +163,8 @@
             }
         }
         if (this->chance(30)) {
-            this->relayParameters = Gateway::RelayParameters{.timeLeftToTarget = this->isShort ? Core::milliseconds(40) : Core::seconds(8),
-                .timeLeftToDeadline = this->isShort ? Core::milliseconds(350) : Core::seconds(9),
+            this->relayParameters = Gateway::RelayParameters{.timeLeftToTarget = this->hasShortTarget ? Core::milliseconds(40) : Core::seconds(8),
+                .timeLeftToDeadline = this->hasShortTarget ? Core::milliseconds(350) : Core::seconds(9),
                 .maximumMissing = static_cast<std::size_t>(this->between(0, shards / 2)),
                 .mayRelayFurther = false,
                 .before = {},
@@ -171,24 +173,24 @@
         }
     }
 
-    void play(PlayCounts &counts)
+    void runToEnd(SearchCounts &counts)
     {
         this->begin("search");
         const int rounds = this->chance(60, 100) ? this->between(1, 2) : 0;
         for (int round = 0; round < rounds; ++round) {
-            this->hedgeInTurn();
+            this->hedgeRepeatedly();
         }
-        for (int step = 0; step < MostSteps && !this->answer.has_value(); ++step) {
+        for (int step = 0; step < MaximumSteps && !this->answer.has_value(); ++step) {
             if (this->chance(40)) {
-                this->answerOne(step);
+                this->answerRandomRequest(step);
             } else if (this->chance(25)) {
-                this->addLateServer();
+                this->addRandomServer();
             }
             this->settle(Core::milliseconds(1));
         }
         const bool ended = this->runUntil([this] {
-            while (!this->waiting.empty()) {
-                this->answerOne(MostSteps);
+            while (!this->heldRequests.empty()) {
+                this->answerRandomRequest(MaximumSteps);
             }
             return this->answer.has_value();
         });
@@ -197,9 +199,9 @@
     }
 
 private:
-    [[nodiscard]] int between(int least, int most)
+    [[nodiscard]] int between(int minimum, int maximum)
     {
-        return std::uniform_int_distribution<int>(least, most)(this->random);
+        return std::uniform_int_distribution<int>(minimum, maximum)(this->random);
     }
 
     [[nodiscard]] bool chance(int percent)
@@ -207,13 +209,13 @@
         return this->between(1, 100) <= percent;
     }
 
-    /** With other odds where answers are to be replaced. */
+    /** Uses another probability in the scenario Replacements. */
     [[nodiscard]] bool chance(int percent, int percentForReplacements)
     {
-        return this->chance(this->theme == Theme::Replacements ? percentForReplacements : percent);
+        return this->chance(this->scenario == Scenario::Replacements ? percentForReplacements : percent);
     }
 
-    // Few enough kinds that records of different servers are equal now and then, and bytes on both sides of the sign.
+    // There are few enough values that records of different servers are sometimes equal. Bytes are below and above 0x80, to detect signed comparisons.
     [[nodiscard]] static std::string record(int value)
     {
         std::string bytes(Gateway::RecordBytes, '\x80');
@@ -222,10 +224,10 @@
         return bytes;
     }
 
-    [[nodiscard]] std::string randomRecords(bool isRich)
+    [[nodiscard]] std::string randomRecords(bool hasManyRecords)
     {
-        const int limit = isRich || this->chance(20) ? 0xffff : this->chance(50) ? 0x6000 : 0x200;
-        const int count = isRich ? this->between(30, 100) : this->between(0, 15);
+        const int limit = hasManyRecords || this->chance(20) ? 0xffff : this->chance(50) ? 0x6000 : 0x200;
+        const int count = hasManyRecords ? this->between(30, 100) : this->between(0, 15);
         std::string records;
         for (int number = 0; number < count; ++number) {
             records += record(this->between(0, limit));
@@ -233,17 +235,17 @@
         return records + std::string(this->chance(20) ? static_cast<std::size_t>(this->between(1, 15)) : 0U, '\xff');
     }
 
-    [[nodiscard]] std::string newRun(const std::string &shard, bool isHere, bool isRich)
+    [[nodiscard]] std::string newRun(const std::string &shard, bool isDirect, bool hasManyRecords)
     {
-        const auto signature = shard + "." + std::to_string(this->runs.size()) + (isHere ? ".here" : ".elsewhere");
-        this->runs[signature] = ShardRun{.shard = shard, .records = this->randomRecords(isRich), .wasHere = isHere};
+        const auto signature = shard + "." + std::to_string(this->runs.size()) + (isDirect ? ".here" : ".elsewhere");
+        this->runs[signature] = ShardRun{.shard = shard, .records = this->randomRecords(hasManyRecords), .wasDirect = isDirect};
         return signature;
     }
 
-    [[nodiscard]] bool isAskedElsewhere(const std::string &shard) const
+    [[nodiscard]] bool isRelayed(const std::string &shard) const
     {
-        return std::any_of(this->waiting.begin(), this->waiting.end(), [&shard](const Waiting &asked) {
-            auto headers = asked.request.headers;
+        return std::any_of(this->heldRequests.begin(), this->heldRequests.end(), [&shard](const HeldRequest &held) {
+            auto headers = held.request.headers;
             const auto parameters = Gateway::extractRelayParameters(headers);
             return parameters.has_value()
                 && std::find(parameters->shards.begin(), parameters->shards.end(), Core::ServiceName(shard)) != parameters->shards.end();
@@ -255,13 +257,13 @@
         const int count = this->between(1, 2);
         for (int number = 0; number < count; ++number) {
             const auto name = "gateway-" + zone + (number == 0 ? "" : "-second");
-            this->addTo(this->relays, Gateway::relayService(zone).value(), name, this->waitsFor(""), zone);
+            this->addTo(this->relays, Gateway::relayService(zone).value(), name, this->holdRequests(""), zone);
         }
     }
 
     void addServer(const std::string &shard, const std::string &zone)
     {
-        this->addTo(this->pool, shard, shard + "-" + std::to_string(this->backends.size()), this->waitsFor(shard), zone);
+        this->addTo(this->pool, shard, shard + "-" + std::to_string(this->backends.size()), this->holdRequests(shard), zone);
     }
 
     void addShard(const std::string &shard)
@@ -279,27 +281,27 @@
         }
     }
 
-    // Shards that had nobody to be hedged at are hedged in a part of their own, after others.
-    void addLateServer()
+    // Adds a server, so that a shard that could not be hedged before is hedged in a part of its own after other shards.
+    void addRandomServer()
     {
         const auto &shards = this->route().shards;
         this->addServer(shards[static_cast<std::size_t>(this->between(0, static_cast<int>(shards.size()) - 1))].value(), this->chance(70) ? "there" : "yonder");
     }
 
-    // Hedges go out; some of the shards that are hedged are answered here meanwhile; then others are hedged, with a least record where enough is in.
-    void hedgeInTurn()
+    // Waits for hedges, answers some of the hedged shards directly, then lets other shards be hedged, with a minimum record if enough are answered.
+    void hedgeRepeatedly()
     {
         this->settle(Core::milliseconds(10));
-        std::vector<Waiting> answered;
-        std::vector<Waiting> left;
-        for (const auto &asked : this->waiting) {
-            const bool isNow = !asked.shard.empty() && this->chance(this->isAskedElsewhere(asked.shard) ? 60 : this->richPercent / 2);
-            (isNow ? answered : left).push_back(asked);
+        std::vector<HeldRequest> answered;
+        std::vector<HeldRequest> left;
+        for (const auto &held : this->heldRequests) {
+            const bool isNow = !held.shard.empty() && this->chance(this->isRelayed(held.shard) ? 60 : this->manyRecordsPercent / 2);
+            (isNow ? answered : left).push_back(held);
         }
-        for (const auto &asked : answered) {
-            this->answerAsServer(asked);
+        for (const auto &held : answered) {
+            this->answerAsServer(held);
         }
-        this->waiting = left;
+        this->heldRequests = left;
         this->settle(Core::milliseconds(1));
         for (const auto &shard : this->route().shards) {
             if (this->chance(60)) {
@@ -309,29 +311,29 @@
         this->settle(Core::milliseconds(10));
     }
 
-    [[nodiscard]] TestSupport::ScriptedBackend::Script waitsFor(const std::string &shard)
+    [[nodiscard]] TestSupport::ScriptedBackend::Script holdRequests(const std::string &shard)
     {
         return [this, shard](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-            this->waiting.push_back({.shard = shard, .request = request, .exchange = exchange});
+            this->heldRequests.push_back({.shard = shard, .request = request, .exchange = exchange});
         };
     }
 
-    // Gateways are left waiting at first, so that parts are open while much else happens, and servers later, so that parts come in before a search
-    // has everything from here.
-    void answerOne(int step)
+    // In early steps mostly servers answer, so that parts are open while other events occur. Later mostly gateways answer, so that parts arrive before a search
+    // has all direct answers.
+    void answerRandomRequest(int step)
     {
-        if (this->waiting.empty()) {
+        if (this->heldRequests.empty()) {
             return;
         }
-        const auto position = this->waiting.begin() + this->between(0, static_cast<int>(this->waiting.size()) - 1);
-        const Waiting chosen = *position;
-        const bool isEarly = step < MostSteps / 10;
-        if (chosen.shard.empty() == isEarly && step < MostSteps && this->chance(70, 90)) {
+        const auto position = this->heldRequests.begin() + this->between(0, static_cast<int>(this->heldRequests.size()) - 1);
+        const HeldRequest chosen = *position;
+        const bool isEarly = step < MaximumSteps / 10;
+        if (chosen.shard.empty() == isEarly && step < MaximumSteps && this->chance(70, 90)) {
             return;
         }
-        this->waiting.erase(position);
-        if (this->isShort && this->chance(10)) {
-            // Never.
+        this->heldRequests.erase(position);
+        if (this->hasShortTarget && this->chance(10)) {
+            // This request is never answered.
             return;
         }
         if (chosen.shard.empty()) {
@@ -341,56 +343,56 @@
         }
     }
 
-    void answerAsServer(const Waiting &asked)
+    void answerAsServer(const HeldRequest &held)
     {
         const int kind = this->chance(100, 0) ? this->between(1, 100) : 100;
         if (kind <= 8) {
-            asked.exchange->respond(errorResponse(asked.request, 503, true));
+            held.exchange->respond(errorResponse(held.request, 503, true));
             return;
         }
         if (kind <= 20) {
-            // No part: a failure whatever it carries, and a success without a signature.
-            auto noPart = successResponse(asked.request, "of no part", this->randomRecords(this->chance(50)));
+            // Responses that do not count as an answer: an error response with a signature, and a success without one.
+            auto notCounted = successResponse(held.request, "of no part", this->randomRecords(this->chance(50)));
             if (kind <= 16) {
-                noPart.status = 500;
+                notCounted.status = 500;
             } else {
-                noPart.headers.pop_back();
+                notCounted.headers.pop_back();
             }
-            asked.exchange->respond(noPart);
+            held.exchange->respond(notCounted);
             return;
         }
-        const bool isRich = this->chance(this->isAskedElsewhere(asked.shard) ? 80 : this->richPercent);
-        const auto signature = this->newRun(asked.shard, true, isRich);
-        auto response = successResponse(asked.request, signature, this->runs[signature].records);
+        const bool hasManyRecords = this->chance(this->isRelayed(held.shard) ? 80 : this->manyRecordsPercent);
+        const auto signature = this->newRun(held.shard, true, hasManyRecords);
+        auto response = successResponse(held.request, signature, this->runs[signature].records);
         if (kind <= 24) {
             response.headers.push_back({"Connection", "close"});
         }
-        asked.exchange->respond(response);
+        held.exchange->respond(response);
     }
 
-    void answerAsGateway(const Waiting &asked)
+    void answerAsGateway(const HeldRequest &held)
     {
-        auto headers = asked.request.headers;
+        auto headers = held.request.headers;
         const auto parameters = Gateway::extractRelayParameters(headers);
         cr_assert(parameters.has_value(), "seed %zu", this->seed);
-        this->limitedParts += parameters->minimumRecord.empty() ? 0 : 1;
+        this->partsWithMinimum += parameters->minimumRecord.empty() ? 0 : 1;
         const int kind = this->chance(100, 0) ? this->between(1, 100) : 100;
         if (kind <= 20) {
-            asked.exchange->respond(errorResponse(asked.request, kind <= 8 ? 502 : 503, false));
+            held.exchange->respond(errorResponse(held.request, kind <= 8 ? 502 : 503, false));
             return;
         }
         auto part = this->partOf(*parameters);
         if (kind <= 24 && !part.signatures.empty()) {
-            // One that does not add up counts for nothing.
+            // A part whose signatures and missing shards do not add up is discarded.
             part.signatures.pop_back();
         }
         if (this->chance(50)) {
             Gateway::packSignatures(part);
         }
-        asked.exchange->respond(TestSupport::partOf(asked.request, part));
+        held.exchange->respond(TestSupport::partOf(held.request, part));
     }
 
-    /** What an honest gateway answers that has some of the shards. */
+    /** Returns the answer of a correct gateway that has some of the shards. */
     [[nodiscard]] Protocol::PartialAnswer partOf(const Gateway::RelayParameters &parameters)
     {
         Protocol::PartialAnswer part;
@@ -418,96 +420,101 @@
         return part;
     }
 
-    void checkAnswer(PlayCounts &counts) const
+    void checkAnswer(SearchCounts &counts) const
     {
-        counts.limited += this->limitedParts;
-        counts.limitedAgain += this->limitedParts > 1 ? 1 : 0;
+        counts.withMinimum += this->partsWithMinimum;
+        counts.withSeveralMinimums += this->partsWithMinimum > 1 ? 1 : 0;
         if (this->answer->status != 200) {
             return;
         }
-        const auto said = this->relayParameters.has_value() ? readPart(*this->answer) : readCallersAnswer(*this->answer);
+        const auto parsed = this->relayParameters.has_value() ? parsePart(*this->answer) : parseCallerAnswer(*this->answer);
         std::set<std::string> shards;
         std::vector<std::string> bodies;
         bool isShortened = false;
-        for (const auto &signature : said.signatures) {
+        for (const auto &signature : parsed.signatures) {
             const auto found = this->runs.find(signature);
-            cr_assert(found != this->runs.end(), "seed %zu: nobody gave %s", this->seed, signature.c_str());
+            cr_assert(found != this->runs.end(), "seed %zu: no backend server or gateway sent %s", this->seed, signature.c_str());
             const auto &run = found->second;
-            cr_assert(shards.insert(run.shard).second, "seed %zu: %s is in twice", this->seed, run.shard.c_str());
+            cr_assert(shards.insert(run.shard).second, "seed %zu: %s is listed twice", this->seed, run.shard.c_str());
             bodies.push_back(run.records);
             isShortened = isShortened || run.inShortenedPart;
-            counts.replaced += !run.wasHere && this->wasAnsweredHere(run.shard) ? 1 : 0;
+            counts.replaced += !run.wasDirect && this->wasAnsweredDirectly(run.shard) ? 1 : 0;
         }
-        const auto &asked = this->declaration->routes.front();
-        const auto in = said.signatures.size();
-        cr_assert_eq(in + said.missing, asked.shards.size(), "seed %zu: %zu in, %zu missing of %zu", this->seed, in, said.missing, asked.shards.size());
-        for (const auto &shard : said.missingShards) {
-            cr_assert(shards.insert(shard).second, "seed %zu: %s is in and missing, or missing twice", this->seed, shard.c_str());
+        const auto &declared = this->declaration->routes.front();
+        const auto in = parsed.signatures.size();
+        cr_assert_eq(
+            in + parsed.missing, declared.shards.size(), "seed %zu: %zu answered, %zu missing of %zu", this->seed, in, parsed.missing, declared.shards.size());
+        for (const auto &shard : parsed.missingShards) {
+            cr_assert(shards.insert(shard).second, "seed %zu: %s is answered and missing, or missing twice", this->seed, shard.c_str());
         }
-        auto expected = greatest(bodies, asked.topRecords);
+        auto expected = greatest(bodies, declared.topRecords);
         if (this->relayParameters.has_value()) {
             Gateway::dropLessThan(expected, this->relayParameters->minimumRecord);
         } else {
-            // A hair more, for the rounding of the product.
-            const double share = static_cast<double>(in) / static_cast<double>(asked.shards.size()) + 1e-9;
-            cr_assert(in > 0 && share >= asked.minimumCoverage, "seed %zu: %zu of %zu are too few", this->seed, in, asked.shards.size());
-        }
-        const auto differs = std::mismatch(expected.begin(), expected.end(), said.records.begin(), said.records.end()).first - expected.begin();
-        cr_assert(said.records == expected,
-            "seed %zu: %zu bytes, %zu expected, which differ from byte %td on",
+            // Increased slightly to allow for rounding of the product.
+            const double share = static_cast<double>(in) / static_cast<double>(declared.shards.size()) + 1e-9;
+            cr_assert(in > 0 && share >= declared.minimumCoverage,
+                "seed %zu: %zu of %zu shards are below the minimum coverage",
+                this->seed,
+                in,
+                declared.shards.size());
+        }
+        const auto differs = std::mismatch(expected.begin(), expected.end(), parsed.records.begin(), parsed.records.end()).first - expected.begin();
+        cr_assert(parsed.records == expected,
+            "seed %zu: got %zu bytes, expected %zu; first difference at byte %td",
             this->seed,
-            said.records.size(),
+            parsed.records.size(),
             expected.size(),
             differs);
         ++counts.successes;
-        counts.partial += said.missing > 0 ? 1 : 0;
+        counts.partial += parsed.missing > 0 ? 1 : 0;
         counts.shortened += isShortened ? 1 : 0;
     }
 
-    [[nodiscard]] bool wasAnsweredHere(const std::string &shard) const
+    [[nodiscard]] bool wasAnsweredDirectly(const std::string &shard) const
     {
         return std::any_of(this->runs.begin(), this->runs.end(), [&shard](const auto &run) {
-            return run.second.shard == shard && run.second.wasHere;
+            return run.second.shard == shard && run.second.wasDirect;
         });
     }
 
-    Theme theme;
+    Scenario scenario;
     std::size_t seed;
     std::mt19937_64 random;
-    bool isShort{false};
-    // Of the answers from here that no part can replace. With few of them much depends on those that may be replaced, with many least records are told
-    // more often.
-    int richPercent{0};
-    std::vector<Waiting> waiting;
-    // By signature.
+    bool hasShortTarget{false};
+    // Percentage of direct answers with many records among those that no part can replace. With a low value the merged records depend on answers that may be
+    // replaced; with a high one minimum records are sent more often.
+    int manyRecordsPercent{0};
+    std::vector<HeldRequest> heldRequests;
+    // Runs by signature.
     std::map<std::string, ShardRun> runs;
-    int limitedParts{0};
+    int partsWithMinimum{0};
 };
 
-void playSeeds(Theme theme, std::uint64_t first, std::uint64_t last)
+void runSeeds(Scenario scenario, std::uint64_t first, std::uint64_t last)
 {
-    PlayCounts counts;
-    // A failing seed is played alone, several times, with CRANKRUDDER_TEST_SEED=N.
+    SearchCounts counts;
+    // CRANKRUDDER_TEST_SEED=N runs a single seed several times, to reproduce a failure.
     const char *chosen = std::getenv("CRANKRUDDER_TEST_SEED");
     if (chosen != nullptr) {
         for (int time = 0; time < 10; ++time) {
-            Play(theme, std::strtoull(chosen, nullptr, 10)).play(counts);
+            RandomSearch(scenario, std::strtoull(chosen, nullptr, 10)).runToEnd(counts);
         }
         return;
     }
     for (std::uint64_t seed = first; seed <= last; ++seed) {
-        Play(theme, seed).play(counts);
+        RandomSearch(scenario, seed).runToEnd(counts);
     }
-    cr_log_info("%d successes, %d of them partial, %d shortened; %d limited parts, %d searches with several; %d replaced",
+    cr_log_info("%d successes, %d of them partial, %d with records left out; %d parts with a minimum record, %d searches with several; %d answers replaced",
         counts.successes,
         counts.partial,
         counts.shortened,
-        counts.limited,
-        counts.limitedAgain,
+        counts.withMinimum,
+        counts.withSeveralMinimums,
         counts.replaced);
-    // Without these the plays would show nothing.
+    // If these cases did not occur, the test would prove nothing.
     cr_assert_gt(counts.replaced, 0);
-    if (theme == Theme::Replacements) {
+    if (scenario == Scenario::Replacements) {
         cr_assert_gt(counts.shortened, 0);
     } else {
         cr_assert(counts.partial > 0 && counts.successes > counts.partial);
@@ -516,12 +523,12 @@
 
 }
 
-Test(MergedBodies, areTheGreatestRecordsOfThePartsNamed)
+Test(MergedBodies, containGreatestRecordsOfListedParts)
 {
-    playSeeds(Theme::Anything, 1, 60);
+    runSeeds(Scenario::Anything, 1, 60);
 }
 
-Test(MergedBodies, areWholeWhereAnswersAreReplacedAfterALeastRecordWasTold)
+Test(MergedBodies, areCompleteIfAnswersAreReplacedAfterMinimumRecordWasSent)
 {
-    playSeeds(Theme::Replacements, 1, 60);
+    runSeeds(Scenario::Replacements, 1, 60);
 }
--- a/Tests/LibGateway/TestRelayedPart.cpp
+++ b/Tests/LibGateway/TestRelayedPart.cpp
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Protects a search from a part that is not the one that was asked for: signatures
-// stand for shards only by what the part says is missing, so a part that names a
-// missing shard which it was not asked for, or one twice, tells of none of its
-// shards whether it is in. It counts for nothing, and what ran for it is unknown.
+// Checks that a part is discarded if it does not fit the request. Which shards
+// the signatures belong to follows only from the list of missing shards. If a
+// part lists a shard that was not requested, or lists one twice, it is not known
+// which of its shards are answered, nor what ran for them.
 
 #include <LibGateway/RecordMerge.h>
 #include <LibRpc/Serialization.h>
@@ -33,7 +33,7 @@
     return missing;
 }
 
-/** A search of which "a" is asked for here, and "b" and "c" by another gateway, which answers as the test says. */
+/** A search over "a", which is sent directly, and "b" and "c", which are relayed to another gateway with the given answer. */
 class PartFixture : public GatewayFixture
 {
 public:
@@ -56,8 +56,8 @@
         });
     }
 
-    /** Of "b" and "c", how often they were asked here. */
-    [[nodiscard]] std::size_t askedAgain() const
+    /** Number of direct requests for "b" and "c". */
+    [[nodiscard]] std::size_t directRequests() const
     {
         return this->servers[1]->requests.size() + this->servers[2]->requests.size();
     }
@@ -65,7 +65,7 @@
     std::vector<TestSupport::ScriptedBackend *> servers;
 };
 
-/** A part with one signature for each that is not missing of two. */
+/** Returns a part of two shards, with a signature for each that is not missing. */
 Protocol::PartialAnswer partWithout(const std::vector<std::string> &missing)
 {
     Protocol::PartialAnswer part;
@@ -79,7 +79,7 @@
     return part;
 }
 
-/** Another gateway whose machine has started again: whatever comes on a connection is answered with a reset. */
+/** A gateway whose machine was restarted: it resets every connection as soon as bytes arrive. */
 class ResettingGateway : public Core::EventHandler, public std::enable_shared_from_this<ResettingGateway>
 {
 public:
@@ -118,48 +118,48 @@
     std::vector<std::string> missing;
 };
 
-const std::vector<Case> &wrongParts()
+const std::vector<Case> &invalidParts()
 {
     static const std::vector<Case> cases{
-        {"one of another search is missing", {"z"}},
-        {"one of this search that it was not asked for is missing", {"a"}},
-        {"two that it was not asked for are missing", {"z", "y"}},
-        {"one that it was not asked for is missing besides one of its own", {"b", "z"}},
-        {"one is missing twice", {"b", "b"}},
+        {"a shard of another search is missing", {"z"}},
+        {"a shard of this search that was not requested is missing", {"a"}},
+        {"two shards that were not requested are missing", {"z", "y"}},
+        {"a requested and another shard are missing", {"b", "z"}},
+        {"a shard is missing twice", {"b", "b"}},
     };
     return cases;
 }
 
 }
 
-Test(RelayedPart, countsForNothingWhenItNamesMissingShardsThatItWasNotAskedFor)
+Test(RelayedPart, isDiscardedIfItListsMissingShardsNotRequested)
 {
-    for (const auto &item : wrongParts()) {
+    for (const auto &item : invalidParts()) {
         PartFixture fixture(0.3, partWithout(item.missing));
         const auto answer = fixture.ask("r1");
         cr_assert_eq(answer.status, 200, "%s", item.name);
         cr_assert_str_eq(Wire::findHeader(answer.headers, "Part-Stamps")->c_str(), "a-here", "%s", item.name);
         cr_assert_str_eq(Wire::findHeader(answer.headers, "Missing-Parts")->c_str(), "2", "%s", item.name);
         cr_assert(answer.body == record('a'), "%s", item.name);
-        cr_assert_eq(fixture.askedAgain(), 0, "%s: they may have run as often as the route allows", item.name);
+        cr_assert_eq(fixture.directRequests(), 0, "%s: the shards may have run as often as the route allows", item.name);
     }
 }
 
-// Shards that were taken to be in without a signature counted towards the coverage of an answer that named one shard of three.
-Test(RelayedPart, addsNothingToTheCoverageThatItHasNoSignatureFor)
+// If shards without a signature counted as answered, they would count towards the coverage of an answer that lists one shard of three.
+Test(RelayedPart, addsNoCoverageWithoutSignatures)
 {
-    for (const auto &item : wrongParts()) {
+    for (const auto &item : invalidParts()) {
         PartFixture fixture(0.6, partWithout(item.missing));
         const auto answer = fixture.ask("r1");
-        cr_assert_eq(answer.status, 502, "%s: %d, though it is known of one shard of three only that it is in", item.name, answer.status);
+        cr_assert_eq(answer.status, 502, "%s: status %d, although only one shard of three is known to be answered", item.name, answer.status);
     }
 }
 
-// The load pattern: a fifth of all instances starts again after a loss of power, and kept connections to their gateways are reset as soon as a part is
-// sent on them. Each such part made its whole search fail.
-Test(RelayedPart, isAskedForAgainWhenItsConnectionBreaksAtOnce)
+// After a loss of power a fifth of all instances is restarted, and connections to their gateways that were kept open are reset as soon as a part is sent. Each
+// such part made the whole search fail.
+Test(RelayedPart, isRetriedIfItsConnectionBreaksImmediately)
 {
-    for (const bool atOnce : {true, false}) {
+    for (const bool isImmediate : {true, false}) {
         PartFixture fixture(1.0, partWithout({}));
         const auto gateway = std::make_shared<ResettingGateway>(fixture);
         gateway->listen();
@@ -171,16 +171,16 @@
         restarted.announcement.zone = "there";
         restarted.announcement.phase = Protocol::BackendPhase::READY;
         fixture.relays.update(restarted);
-        fixture.settings.immediateBreak = atOnce ? Core::seconds(10) : Core::Duration(0);
+        fixture.settings.immediateBreak = isImmediate ? Core::seconds(10) : Core::Duration(0);
         const auto answer = fixture.ask("r1");
         cr_assert_eq(gateway->resets, 1);
-        cr_assert_eq(answer.status, atOnce ? 200 : 502);
-        cr_assert_eq(fixture.askedAgain(), atOnce ? 2 : 0, "it may have run as often as the route allows");
+        cr_assert_eq(answer.status, isImmediate ? 200 : 502);
+        cr_assert_eq(fixture.directRequests(), isImmediate ? 2 : 0, "the shards may have run as often as the route allows");
     }
 }
 
-// Gateways may hold different declarations for a moment after a change.
-Test(RelayedPart, hasAsManyRecordsAsItsAskerWantsWhateverTheOtherGatewaysDeclarationSays)
+// Gateways may have different declarations for a moment after a change.
+Test(RelayedPart, hasRecordCountOfRequestWhateverOwnDeclarationSays)
 {
     for (const std::size_t wanted : {1U, 2U, 3U}) {
         GatewayFixture fixture;
@@ -197,7 +197,7 @@
     }
 }
 
-Test(RelayedPart, isAskedForAsManyRecordsAsTheSearchWants)
+Test(RelayedPart, isSentWithRecordCountOfRoute)
 {
     GatewayFixture fixture;
     fixture.route().shards = {Core::ServiceName("a")};
@@ -213,7 +213,7 @@
     cr_assert_eq(wanted, 7);
 }
 
-Test(RelayedPart, countsWhenItNamesMissingShardsThatItWasAskedFor)
+Test(RelayedPart, isAcceptedIfItListsRequestedShardsAsMissing)
 {
     const std::vector<Case> cases{{"none", {}}, {"the first", {"b"}}, {"the second", {"c"}}, {"both, in another order", {"c", "b"}}};
     for (const auto &item : cases) {
@@ -221,6 +221,6 @@
         const auto answer = fixture.ask("r1");
         cr_assert_eq(answer.status, 200, "%s", item.name);
         cr_assert_str_eq(Wire::findHeader(answer.headers, "Missing-Parts")->c_str(), "0", "%s", item.name);
-        cr_assert_eq(fixture.askedAgain(), item.missing.size(), "%s: what never was sent is asked for here", item.name);
+        cr_assert_eq(fixture.directRequests(), item.missing.size(), "%s: shards that were never sent are sent to directly", item.name);
     }
 }
