--- a/Tests/LibGateway/TestRequests.cpp
+++ b/Tests/LibGateway/TestRequests.cpp
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Requests over backend servers that answer, refuse, stay silent and break off.
+// Tests of single requests, searches, relayed parts and hedges over backend
+// servers that answer, refuse, do not respond or break the connection.
 
 #include <LibRpc/Serialization.h>
 #include <Support/GatewayFixture.h>
@@ -59,7 +60,7 @@
     return std::string(16, letter);
 }
 
-/** What another gateway answers. */
+/** A missing shard as another gateway reports it. */
 Protocol::MissingShard missingShard(const std::string &name, int executions, int sends)
 {
     Protocol::MissingShard missing;
@@ -76,7 +77,7 @@
 
 }
 
-Test(SingleRequest, passesAnAnswerOnUnchanged)
+Test(SingleRequest, forwardsReplyUnchanged)
 {
     GatewayFixture fixture;
     makeSingle(fixture, true);
@@ -86,7 +87,7 @@
     cr_assert(*header(answer, "Response-Signature") == "signature-b");
 }
 
-Test(SingleRequest, runsANonIdempotentRequestAtMostOnce)
+Test(SingleRequest, runsNonIdempotentRequestAtMostOnce)
 {
     struct Case {
         const char *name;
@@ -95,8 +96,8 @@
         std::size_t arrivals;
     };
     const std::vector<Case> cases{
-        {"it failed", failing(500, false), 500, 1},
-        {"it broke off",
+        {"error response", failing(500, false), 500, 1},
+        {"connection closed during the response",
             [](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
                 auto response = errorResponse(request, 200, false);
                 response.headers.push_back({"Connection", "close"});
@@ -104,8 +105,8 @@
             },
             502,
             1},
-        // Refusals are no runs; both are asked, and one of them once more.
-        {"it refused", failing(503, true), 503, 3},
+        // A refused request was not run: both backend servers are tried, and one of them a second time.
+        {"refusal", failing(503, true), 503, 3},
     };
     for (const auto &item : cases) {
         GatewayFixture fixture;
@@ -130,7 +131,7 @@
     }));
 }
 
-Test(SingleRequest, isNeverHedgedOtherwise)
+Test(SingleRequest, isNotHedgedIfNotIdempotent)
 {
     GatewayFixture fixture;
     makeSingle(fixture, false, Core::milliseconds(100));
@@ -141,7 +142,7 @@
     cr_assert(one.requests.size() + two.requests.size() == 1);
 }
 
-Test(SingleRequest, triesAnotherAfterAFailureOfAnIdempotentOne)
+Test(SingleRequest, retriesFailedIdempotentRequestOnAnotherBackend)
 {
     GatewayFixture fixture;
     makeSingle(fixture, true);
@@ -155,7 +156,7 @@
     cr_assert(fixture.summary->attempts == 2);
 }
 
-Test(SingleRequest, asksAgainWhereItWasOnlyRefused)
+Test(SingleRequest, retriesOnBackendThatRefused)
 {
     GatewayFixture fixture;
     makeSingle(fixture, false);
@@ -163,11 +164,11 @@
     const auto &one = fixture.add("s", "one", [&first](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
         exchange->respond(std::exchange(first, false) ? errorResponse(request, 503, true) : successResponse(request, "sig", "fine"));
     });
-    cr_assert(fixture.ask("r1", "POST").body == "fine", "the only backend server there is refused once");
+    cr_assert(fixture.ask("r1", "POST").body == "fine", "the only backend server refuses the first attempt");
     cr_assert(one.requests.size() == 2);
 }
 
-Test(SingleRequest, prefersABackendServerThatDoesNotRefuse)
+Test(SingleRequest, prefersBackendThatDoesNotRefuse)
 {
     GatewayFixture fixture;
     makeSingle(fixture, false);
@@ -180,7 +181,7 @@
     cr_assert(refusing.requests.size() <= 5, "%zu", refusing.requests.size());
 }
 
-Test(SingleRequest, goesElsewhereWhenAnAddressWasReused)
+Test(SingleRequest, avoidsBackendWhoseAddressWasReused)
 {
     GatewayFixture fixture;
     makeSingle(fixture, false);
@@ -189,11 +190,11 @@
     fixture.add("s", "there", answering("fine"));
     cr_assert(fixture.ask("r2", "POST").body == "fine");
     cr_assert(fixture.ask("r3", "POST").body == "fine");
-    cr_assert(gone.requests.size() == 1, "one that is gone is not asked again");
+    cr_assert(gone.requests.size() == 1, "a backend server that is gone is not tried again");
 }
 
-// One that turns connections away is neither asked nor blamed: the request goes elsewhere, which is no repeat.
-Test(SingleRequest, goesElsewhereForFreeWhenABackendServerIsFull)
+// A rejected connection does not count as a failure, and sending to another backend server is no repeat.
+Test(SingleRequest, triesAnotherBackendWithoutRepeatIfConnectionIsRejected)
 {
     GatewayFixture fixture(0.0);
     makeSingle(fixture, false);
@@ -209,7 +210,7 @@
     cr_assert_eq(fixture.pool.counters().broken, 0);
 }
 
-Test(SingleRequest, refusesWithATrueNotRunWhenNobodyIsThere)
+Test(SingleRequest, refusesAsNotRunWithoutBackends)
 {
     GatewayFixture fixture;
     makeSingle(fixture, false, Core::milliseconds(50));
@@ -219,7 +220,7 @@
     cr_assert(fixture.summary->outcome == Gateway::RequestOutcome::NotRun);
 }
 
-Test(FanOutRequest, mergesAllShardsAndNamesTheirSignatures)
+Test(FanOutRequest, mergesAllShardsAndListsTheirSignatures)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 1.0);
@@ -232,7 +233,7 @@
     cr_assert(*header(answer, "Missing-Parts") == "0");
 }
 
-Test(FanOutRequest, leavesWithWhatIsInWhenTheTargetIsDue)
+Test(FanOutRequest, answersWithAvailableShardsAtTarget)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
@@ -244,34 +245,34 @@
     cr_assert(answer.body == record('a'));
 }
 
-Test(FanOutRequest, givesUpAtOnceWhenCoverageCanNotBeReached)
+Test(FanOutRequest, failsImmediatelyIfCoverageCannotBeReached)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 1.0);
     const auto &sound = fixture.add("a", "a1", silent);
     fixture.add("b", "b1", failing(500, false));
     const auto answer = fixture.ask("r1");
-    cr_assert(answer.status == 502, "something ran, so it must not say otherwise");
+    cr_assert(answer.status == 502, "a shard ran, so the search must not be reported as not run");
     cr_assert(sound.requests.size() <= 1);
-    cr_assert(fixture.summary->took < Core::seconds(9), "nobody waited for the silent one");
+    cr_assert(fixture.summary->took < Core::seconds(9), "the request did not wait for the silent backend server");
 }
 
-// After a loss of power searches waited out their patience for shards of which no backend server was known.
-Test(FanOutRequest, refusesAtOnceWhatTooFewShardsCanServe)
+// Guards against searches that wait until their timeout for shards of which no backend server is known, as after a loss of power.
+Test(FanOutRequest, refusesImmediatelyIfTooFewShardsHaveBackends)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b"), Core::ServiceName("c")}, 0.6);
     auto &only = fixture.add("a", "a1", answering(record('a')));
     fixture.begin("r1");
-    cr_assert(fixture.answer.has_value(), "before anything was waited for");
+    cr_assert(fixture.answer.has_value(), "the answer is sent synchronously");
     cr_assert_eq(fixture.answer->status, 503);
     cr_assert_not_null(header(*fixture.answer, "Retry-After"));
-    cr_assert(only.requests.empty(), "nothing ran");
+    cr_assert(only.requests.empty(), "nothing is sent");
     fixture.add("b", "b1", answering(record('b')));
     cr_assert_eq(fixture.ask("r2").status, 200);
 }
 
-Test(SingleRequest, refusesAtOnceWhatNobodyCanServe)
+Test(SingleRequest, refusesImmediatelyWithoutBackends)
 {
     GatewayFixture fixture;
     makeSingle(fixture, false);
@@ -281,7 +282,7 @@
     cr_assert_not_null(header(*fixture.answer, "Retry-After"));
 }
 
-Test(FanOutRequest, hedgesAShardThatIsLateOnAnotherBackendServer)
+Test(FanOutRequest, hedgesLateShardOnAnotherBackend)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a")}, 1.0);
@@ -298,7 +299,7 @@
     cr_assert(fixture.summary->hedges == 1);
 }
 
-Test(FanOutRequest, countsNoFailureAsAPartEvenWithASignature)
+Test(FanOutRequest, doesNotCountErrorResponseWithSignatureAsAnswer)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
@@ -313,7 +314,7 @@
     cr_assert(*header(answer, "Missing-Parts") == "1");
 }
 
-Test(FanOutRequest, sendsNothingMoreOnceTheCallerHasGone)
+Test(FanOutRequest, sendsNothingAfterCallerHasGone)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a")}, 1.0);
@@ -327,10 +328,10 @@
     fixture.settle(Core::milliseconds(400));
     cr_assert(one.requests.size() + two.requests.size() == 1);
     cr_assert_not(fixture.answer.has_value());
-    cr_assert(fixture.pool.counters().cancelled == 1, "the backend server hears of it by the close");
+    cr_assert(fixture.pool.counters().cancelled == 1, "the attempt is cancelled by closing its connection");
 }
 
-Test(FanOutRequest, takesThePartOfAnotherGateway)
+Test(FanOutRequest, mergesPartOfAnotherGateway)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b"), Core::ServiceName("c")}, 1.0);
@@ -349,25 +350,25 @@
     cr_assert(*header(answer, "Missing-Parts") == "0");
 }
 
-Test(FanOutRequest, asksForWhatAnotherGatewayLacksWithinBudgetAndAttempts)
+Test(FanOutRequest, retriesShardsMissingFromPartWithinBudgetAndAttempts)
 {
     struct Case {
         const char *name;
         int executions;
         int sends;
         double slack;
-        bool asked;
+        bool sent;
         int status;
     };
-    // With no budget left the call ends at once, while the part is still being taken over: this crashed once.
+    // Without remaining budget the call ends synchronously, while the part is still being handled. Destroying the request at that point caused a crash.
     const std::vector<Case> cases{
         {"never sent", 0, 0, 0.0, true, 200},
-        // Refused everywhere: nothing ran, but what is sent now is a repeat. Not to count it as one broke the budget (hunt of edz-parts).
+        // Refused everywhere: nothing ran, but the next send is a repeat. If it is not counted as one, the retry budget is exceeded.
         {"sent and refused, budget left", 0, 2, 1000.0, true, 200},
         {"sent and refused, no budget", 0, 2, 0.0, false, 502},
-        {"run once", 1, 1, 1000.0, true, 200},
-        {"run once, no budget", 1, 1, 0.0, false, 502},
-        {"run as often as allowed", 2, 2, 1000.0, false, 502},
+        {"executed once, budget left", 1, 1, 1000.0, true, 200},
+        {"executed once, no budget", 1, 1, 0.0, false, 502},
+        {"executed as often as allowed", 2, 2, 1000.0, false, 502},
     };
     for (const auto &item : cases) {
         GatewayFixture fixture(item.slack);
@@ -382,12 +383,12 @@
             exchange->respond(partOf(request, part));
         });
         const auto answer = fixture.ask("r1");
-        cr_assert(direct.requests.size() == (item.asked ? 1 : 0), "%s", item.name);
+        cr_assert(direct.requests.size() == (item.sent ? 1 : 0), "%s", item.name);
         cr_assert(answer.status == item.status, "%s: %d", item.name, answer.status);
     }
 }
 
-Test(FanOutRequest, doesTheWorkItselfWhenNoOtherGatewayTakesIt)
+Test(FanOutRequest, sendsDirectlyIfNoGatewayAcceptsPart)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 1.0);
@@ -398,7 +399,7 @@
     cr_assert(fixture.ask("r1").body == record('b') + record('a'));
 }
 
-Test(FanOutRequest, neverAsksAgainForAPartThatAnotherGatewayLost)
+Test(FanOutRequest, doesNotRetryPartThatMayHaveRun)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
@@ -410,17 +411,17 @@
     });
     const auto answer = fixture.ask("r1");
     cr_assert(answer.status == 200 && *header(answer, "Missing-Parts") == "1");
-    cr_assert(direct.requests.empty(), "it may have run as often as the route allows");
+    cr_assert(direct.requests.empty(), "the shard may have run as often as the route allows");
 }
 
-Test(FanOutRequest, answersAnotherGatewayLateRatherThanWithTooFewShards)
+Test(FanOutRequest, sendsPartLateRatherThanWithTooManyMissing)
 {
     struct Case {
         const char *name;
         std::size_t maximumMissing;
         bool waits;
     };
-    // Parts that left at their target whatever they lacked made whole searches fail that would have been late (edz-parts-grown trouble-3).
+    // If parts are sent at their target whatever is missing, whole searches fail that would otherwise only be late.
     for (const auto &item : std::vector<Case>{{"one may be missing", 1, false}, {"none may be missing", 0, true}}) {
         GatewayFixture fixture;
         makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
@@ -459,8 +460,9 @@
     }
 }
 
-// The asker would otherwise send for free what is a repeat: 347 repeats of 326 in a trial of chn-search, scale-1.
-Test(FanOutRequest, tellsAnotherGatewayOfSendsThatAThirdOneMade)
+// The requesting gateway has to count its own sends as repeats if a third gateway has sent to the shard before. When it did not know of these sends, it sent
+// 347 repeats of 326 allowed ones in a trial.
+Test(FanOutRequest, reportsSendsOfThirdGatewayToRequestingGateway)
 {
     GatewayFixture fixture(0.0);
     makeSearch(fixture, {Core::ServiceName("a")}, 1.0);
@@ -484,7 +486,7 @@
     cr_assert(part->missing[0].counted);
 }
 
-Test(FanOutRequest, answersAnotherGatewayWithWhatItHasWhenItsTimeIsUp)
+Test(FanOutRequest, sendsIncompletePartAtDeadline)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
@@ -503,7 +505,7 @@
 namespace
 {
 
-/** How a gateway in the zone "here" divides a search. */
+/** Divides a search as a gateway in the zone "here" does. */
 Gateway::RelayPlan planHere(const GatewayFixture &fixture, const std::vector<Core::ServiceName> &shards, const Gateway::CellMap &cells, bool onlyOtherRegions)
 {
     const auto regions = GatewayFixture::poolOptions(0.0).regions;
@@ -521,7 +523,7 @@
 
 }
 
-Test(RelayPlan, givesEachShardToAZoneWhereItsBestBackendServersAre)
+Test(RelayPlan, assignsEachShardToZoneOfItsBestBackends)
 {
     GatewayFixture fixture;
     std::vector<Core::ServiceName> shards;
@@ -550,13 +552,13 @@
     cr_assert(whole.parts.size() == 2);
     cr_assert(whole.parts[0].zone == "beside" && whole.parts[0].shards.size() == 3 && whole.parts[0].mayRelayFurther);
     cr_assert(whole.parts[1].zone == "there" && whole.parts[1].shards.size() == 2 && !whole.parts[1].mayRelayFurther);
-    cr_assert(whole.direct == (std::vector{Core::ServiceName("near"), Core::ServiceName("away-3")}), "a single far shard is asked from here");
+    cr_assert(whole.direct == (std::vector{Core::ServiceName("near"), Core::ServiceName("away-3")}), "a single shard of another region is sent to directly");
     const auto second = plan(true);
-    cr_assert(second.parts.size() == 1 && second.parts[0].zone == "there", "a part is not sent on within its region");
+    cr_assert(second.parts.size() == 1 && second.parts[0].zone == "there", "a part is not relayed again within its region");
     cr_assert(second.direct.size() == 5);
 }
 
-Test(RelayPlan, asksElsewhereForShardsThatWereMissingInAPart)
+Test(RelayPlan, prefersOtherZonesForShardMissingFromPart)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
@@ -585,70 +587,70 @@
 namespace
 {
 
-/** Two shards whose near backend servers decide nothing by themselves, and a gateway beside the far ones. */
+/** Two shards whose servers in the same zone are answered by the test only, and a gateway in the zone of their servers in another region. */
 class HedgeFixture : public GatewayFixture
 {
 public:
-    /** `others` are further shards, whose near servers are silent and which have no far ones. */
+    /** `others` are additional shards whose only servers are in the same zone and do not respond. */
     explicit HedgeFixture(double retrySlack = 100.0, const std::vector<Core::ServiceName> &others = {}) : GatewayFixture(retrySlack)
     {
         makeSearch(*this, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
-        // Hedges come soon and the target late, so that a busy machine does not change what comes first.
+        // Hedges are due early and the target is late, so that a busy machine does not change the order of events.
         this->route().targetLatency = Core::seconds(8);
         for (int count = 0; count < 30; ++count) {
             this->latencies.add(Core::milliseconds(5));
         }
         for (const auto *shard : {"a", "b"}) {
             this->add(shard, std::string(shard) + "-near", [this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-                if (this->isOpening) {
+                if (this->opensConnections) {
                     exchange->respond(successResponse(request, "signature", record('a')));
                 } else {
-                    this->nearRequests.emplace_back(request, exchange);
+                    this->sameZoneRequests.emplace_back(request, exchange);
                 }
             });
         }
         for (const auto &shard : others) {
             this->route().shards.push_back(shard);
             this->add(shard.value(), shard.value() + "-near", [this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
-                if (this->isOpening) {
+                if (this->opensConnections) {
                     exchange->respond(successResponse(request, "signature", record('a')));
                 }
             });
         }
-        // With connections that are up the first sends have left when hedges are due, however busy the machine is: what has not left is no repeat.
+        // With open connections the first attempts have been sent when hedges are due, however busy the machine is. Otherwise the hedge would not be a repeat.
         cr_assert_eq(this->ask("opens connections").status, 200);
-        this->isOpening = false;
+        this->opensConnections = false;
         for (const auto *shard : {"a", "b"}) {
-            this->far.push_back(&this->addTo(this->pool, shard, std::string(shard) + "-far", silent, "there"));
+            this->crossRegionBackends.push_back(&this->addTo(this->pool, shard, std::string(shard) + "-far", silent, "there"));
         }
         this->gateway = &this->addGateway([this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
             auto headers = request.headers;
             this->parameters = Gateway::extractRelayParameters(headers);
-            this->askedGateway.emplace_back(request, exchange);
+            this->partRequests.emplace_back(request, exchange);
         });
     }
 
-    /** Starts a search and waits until its hedges are out. */
-    void beginAndHedge()
+    /** Starts a search and waits until its hedges were sent. */
+    void startAndHedge()
     {
         this->begin("r1");
-        // All of them are due when they are looked at first, however long their sends took.
+        // All hedges are due at the first check, however long the first sends took.
         g_usleep(100'000);
         cr_assert(this->runUntil([this] {
-            return !this->askedGateway.empty();
+            return !this->partRequests.empty();
         }));
     }
 
     void answerPart(const Protocol::PartialAnswer &part)
     {
-        const auto &[request, exchange] = this->askedGateway.front();
+        const auto &[request, exchange] = this->partRequests.front();
         exchange->respond(partOf(request, part));
     }
 
-    bool isOpening{true};
-    std::vector<std::pair<Wire::Request, Wire::ExchangePointer>> nearRequests;
-    std::vector<std::pair<Wire::Request, Wire::ExchangePointer>> askedGateway;
-    std::vector<TestSupport::ScriptedBackend *> far;
+    bool opensConnections{true};
+    std::vector<std::pair<Wire::Request, Wire::ExchangePointer>> sameZoneRequests;
+    std::vector<std::pair<Wire::Request, Wire::ExchangePointer>> partRequests;
+    std::vector<TestSupport::ScriptedBackend *> crossRegionBackends;
     TestSupport::ScriptedBackend *gateway{nullptr};
     std::optional<Gateway::RelayParameters> parameters;
 };
@@ -656,18 +658,18 @@
 }
 
 // A route may be declared without a number of records.
-Test(FanOutRequest, hedgesTogetherWhereNoRecordsAreWanted)
+Test(FanOutRequest, hedgesInOnePartIfRouteHasNoRecordCount)
 {
     HedgeFixture fixture;
     fixture.route().topRecords = 0;
-    fixture.beginAndHedge();
+    fixture.startAndHedge();
     cr_assert(fixture.parameters->minimumRecord.empty());
 }
 
-Test(FanOutRequest, hedgesShardsOfOneRegionTogether)
+Test(FanOutRequest, sendsHedgesForOneRegionAsOnePart)
 {
     HedgeFixture fixture;
-    fixture.beginAndHedge();
+    fixture.startAndHedge();
     cr_assert(fixture.parameters.has_value() && fixture.parameters->isHedge && fixture.parameters->shards.size() == 2);
     Protocol::PartialAnswer part;
     part.signatures = {"signature-a", "signature-b"};
@@ -679,15 +681,15 @@
     cr_assert(fixture.answer->status == 200 && fixture.answer->body == record('b') + record('a'));
     cr_assert(*header(*fixture.answer, "Part-Stamps") == "signature-a, signature-b");
     cr_assert(fixture.summary->hedges == 2);
-    cr_assert(fixture.far[0]->requests.empty() && fixture.far[1]->requests.empty(), "the other gateway asks them");
+    cr_assert(fixture.crossRegionBackends[0]->requests.empty() && fixture.crossRegionBackends[1]->requests.empty(), "the serving gateway sends to them");
 }
 
-Test(FanOutRequest, countsAShardOnceThatIsInAPartAndHere)
+Test(FanOutRequest, countsShardInPartAndDirectAnswerOnce)
 {
     HedgeFixture fixture;
-    fixture.beginAndHedge();
-    for (const auto &[request, exchange] : fixture.nearRequests) {
-        if (exchange == fixture.nearRequests.front().second) {
+    fixture.startAndHedge();
+    for (const auto &[request, exchange] : fixture.sameZoneRequests) {
+        if (exchange == fixture.sameZoneRequests.front().second) {
             exchange->respond(successResponse(request, "signature-near", record('n')));
         }
     }
@@ -699,41 +701,41 @@
     cr_assert(fixture.runUntil([&] {
         return fixture.answer.has_value();
     }));
-    cr_assert(fixture.answer->body == record('b') + record('a'), "the part's records can't be told apart by shard");
+    cr_assert(fixture.answer->body == record('b') + record('a'), "the records of a part cannot be told apart by shard");
     cr_assert(*header(*fixture.answer, "Part-Stamps") == "signature-a, signature-b");
     cr_assert(*header(*fixture.answer, "Missing-Parts") == "0");
 }
 
-Test(FanOutRequest, goesOnWaitingHereForWhatAHedgePartLacks)
+Test(FanOutRequest, keepsWaitingForDirectAnswersMissingFromHedgePart)
 {
     HedgeFixture fixture;
-    fixture.beginAndHedge();
+    fixture.startAndHedge();
     Protocol::PartialAnswer part;
     part.missing = {missingShard("a", 2, 1), missingShard("b", 1, 0)};
     fixture.answerPart(part);
     fixture.settle(Core::milliseconds(20));
-    for (const auto &[request, exchange] : fixture.nearRequests) {
+    for (const auto &[request, exchange] : fixture.sameZoneRequests) {
         exchange->respond(successResponse(request, "signature-" + std::to_string(request.headers.size()), record('n')));
     }
     cr_assert(fixture.runUntil([&] {
         return fixture.answer.has_value();
     }));
     cr_assert(fixture.answer->status == 200 && *header(*fixture.answer, "Missing-Parts") == "0");
-    cr_assert(fixture.far[0]->requests.empty(), "a has run on two backend servers, which is all that the route allows");
+    cr_assert(fixture.crossRegionBackends[0]->requests.empty(), "shard a has run on two backend servers, the maximum of the route");
 }
 
-Test(FanOutRequest, hedgesNothingElsewhereWithoutARepeatLeft)
+Test(FanOutRequest, relaysNoHedgeIfBudgetIsExhausted)
 {
     HedgeFixture fixture(0.0);
     fixture.begin("r1");
     cr_assert(fixture.runUntil([&] {
-        return fixture.nearRequests.size() == 2;
+        return fixture.sameZoneRequests.size() == 2;
     }));
     fixture.settle(Core::milliseconds(400));
-    cr_assert(fixture.askedGateway.empty() && fixture.far[0]->requests.empty());
+    cr_assert(fixture.partRequests.empty() && fixture.crossRegionBackends[0]->requests.empty());
 }
 
-Test(FanOutRequest, runsAPaidHedgeOnlyWhereItIsNear)
+Test(FanOutRequest, runsRelayedHedgeOnlyInOwnRegion)
 {
     GatewayFixture fixture(0.0);
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 0.5);
@@ -743,27 +745,27 @@
         .mayRelayFurther = false,
         .isHedge = true,
         .shards = {}};
-    const auto &near = fixture.add("a", "a1", answering(record('a')));
-    const auto &far = fixture.addTo(fixture.pool, "b", "b1", silent, "there");
+    const auto &sameRegion = fixture.add("a", "a1", answering(record('a')));
+    const auto &crossRegion = fixture.addTo(fixture.pool, "b", "b1", silent, "there");
     const auto part = Rpc::deserialize<Protocol::PartialAnswer>(fixture.ask("r1").body);
-    cr_assert(near.requests.size() == 1, "no repeat is left here, but this one is paid for");
-    cr_assert(far.requests.empty());
+    cr_assert(sameRegion.requests.size() == 1, "the requesting gateway has consumed the repeat, so no budget is needed here");
+    cr_assert(crossRegion.requests.empty());
     cr_assert(part.has_value() && part->signatures.size() == 1 && part->missing.size() == 1);
-    cr_assert(part->missing.front().executions == 1, "as often as before");
+    cr_assert(part->missing.front().executions == 1, "no attempt in addition to that of the requesting gateway");
 }
 
-Test(FanOutRequest, asksForNoRecordsThatCanNotBeAmongTheGreatest)
+Test(FanOutRequest, sendsMinimumRecordWithHedgePart)
 {
     HedgeFixture fixture;
     fixture.route().topRecords = 2;
     fixture.route().shards.emplace_back("c");
     fixture.add("c", "c-near", answering(record('c') + record('e') + record('d')));
-    // Hedges come only after this shard has long been in.
+    // Hedges are due only after this shard was answered.
     for (int count = 0; count < 100; ++count) {
         fixture.latencies.add(Core::milliseconds(150));
     }
-    fixture.beginAndHedge();
-    cr_assert(fixture.parameters.has_value() && fixture.parameters->minimumRecord == record('d'), "the second greatest that is in");
+    fixture.startAndHedge();
+    cr_assert(fixture.parameters.has_value() && fixture.parameters->minimumRecord == record('d'), "the second greatest of the answered records");
     Protocol::PartialAnswer part;
     part.signatures = {"signature-a", "signature-b"};
     part.records = record('x');
@@ -774,7 +776,7 @@
     cr_assert(fixture.answer->body == record('x') + record('e'));
 }
 
-Test(FanOutRequest, sendsAnotherGatewayOnlyTheRecordsThatItNeeds)
+Test(FanOutRequest, leavesOutRecordsBelowMinimumFromPart)
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a")}, 1.0);
@@ -790,27 +792,27 @@
     cr_assert(part.has_value() && part->records == record('c') + record('b') && part->signatures.size() == 1);
 }
 
-// The answer of a row whose hedge is under way may be replaced, and with it the records that a limit was taken from.
-Test(FanOutRequest, takesNoLimitFromAnAnswerThatMayBeReplaced)
+// An answer whose hedge is in flight may be replaced, and with it the records from which a minimum record was derived.
+Test(FanOutRequest, derivesNoMinimumRecordFromReplaceableAnswers)
 {
     HedgeFixture fixture(100.0, {Core::ServiceName("c"), Core::ServiceName("d")});
     fixture.route().topRecords = 2;
-    fixture.beginAndHedge();
-    cr_assert(fixture.parameters->shards.size() == 2, "the others have no second backend server yet");
-    const auto &[request, exchange] = fixture.nearRequests.front();
+    fixture.startAndHedge();
+    cr_assert(fixture.parameters->shards.size() == 2, "the other shards have no second backend server yet");
+    const auto &[request, exchange] = fixture.sameZoneRequests.front();
     exchange->respond(successResponse(request, "signature-near", record('y') + record('z')));
     fixture.settle(Core::milliseconds(50));
     for (const auto *shard : {"c", "d"}) {
         fixture.addTo(fixture.pool, shard, std::string(shard) + "-far", silent, "there");
     }
     cr_assert(fixture.runUntil([&] {
-        return fixture.askedGateway.size() == 2;
+        return fixture.partRequests.size() == 2;
     }));
     cr_assert(fixture.parameters->shards.size() == 2 && fixture.parameters->minimumRecord.empty());
 }
 
-// The load pattern of TestCellMap: a search's shards go in parts to the owners of their cells, several of which work side by side.
-Test(RelayPlan, bringsTheShardsOfADividedZoneToTheOwnersOfTheirCells)
+// Same load as in TestCellMap: the shards of a search are sent in parts to the owners of their cells, several of which work in parallel.
+Test(RelayPlan, assignsShardsOfDividedZoneToCellOwners)
 {
     constexpr std::size_t Shards = 180;
     constexpr std::size_t Gateways = 50;
@@ -839,22 +841,22 @@
         return planHere(fixture, shards, cells, onlyOtherRegions);
     };
     const auto whole = plan(false);
-    std::size_t asked = whole.direct.size();
+    std::size_t assigned = whole.direct.size();
     for (const auto &part : whole.parts) {
-        asked += part.shards.size();
-        cr_assert(part.mayRelayFurther, "the owner sends on what is better asked for in another region");
+        assigned += part.shards.size();
+        cr_assert(part.mayRelayFurther, "the owner may relay shards that are better served in another region");
         cr_assert_not(part.owners.empty());
         cr_assert(part.shards.size() <= 40, "%zu shards for one owner", part.shards.size());
         cr_assert(cells.commonOwnersOf(part.shards, Shards, part.zone) == part.owners);
     }
-    cr_assert_eq(asked, Shards);
+    cr_assert_eq(assigned, Shards);
     cr_assert(whole.parts.size() >= 8);
     const auto atOwner = plan(true);
     cr_assert(atOwner.parts.empty(), "an owner does not divide its own zone again");
     cr_assert_eq(atOwner.direct.size(), Shards);
 }
 
-Test(BackendPool, prefersTheFirstThatIsSound)
+Test(BackendPool, firstSoundReturnsFirstEligibleOfNames)
 {
     GatewayFixture fixture;
     const auto silent = [](const Wire::Request &, const Wire::ExchangePointer &) {
@@ -874,10 +876,10 @@
     cr_assert_eq(first({unknown, one}), "one");
     cr_assert_eq(first({two, one}, {two}), "one");
     cr_assert_eq(first({}), "");
-    Fleet::BackendRecord leaving;
-    leaving.announcement.id = "two";
-    leaving.announcement.phase = Protocol::BackendPhase::DRAINING;
-    fixture.pool.update(leaving);
+    Fleet::BackendRecord draining;
+    draining.announcement.id = "two";
+    draining.announcement.phase = Protocol::BackendPhase::DRAINING;
+    fixture.pool.update(draining);
     cr_assert_eq(first({two, one}), "one");
     cr_assert_eq(first({two}), "");
 }
@@ -886,8 +888,8 @@
 {
 
 /**
- * A search whose shards an owner has. Its first answer lacks "b", which was sent once; any further one has what it is asked for. The target is over
- * when that answer comes.
+ * A search whose shards belong to one owner. The first part lacks "b", which was sent once; every later part contains what was requested. The target has
+ * passed when the first part arrives.
  */
 class OwnerFixture : public GatewayFixture
 {
@@ -896,15 +898,15 @@
     {
         makeSearch(*this, {Core::ServiceName("a"), Core::ServiceName("b")}, coverage);
         this->route().targetLatency = Core::milliseconds(1);
-        // Until the gateway has answered, however busy the machine is.
+        // Long enough for the gateway to answer, however busy the machine is.
         this->timeoutInTargets = 10'000;
         this->relayed = this->route().shards;
         this->owners = {Gateway::BackendName("gateway")};
         this->addGateway([this](const Wire::Request &request, const Wire::ExchangePointer &exchange) {
             auto headers = request.headers;
-            this->asked.push_back(Gateway::extractRelayParameters(headers).value());
+            this->requested.push_back(Gateway::extractRelayParameters(headers).value());
             Protocol::PartialAnswer part;
-            if (this->asked.size() == 1) {
+            if (this->requested.size() == 1) {
                 part.signatures = {"signature-a"};
                 part.records = record('a');
                 part.missing = {missingShard("b", 1, 1)};
@@ -920,32 +922,32 @@
         }
     }
 
-    std::vector<Gateway::RelayParameters> asked;
+    std::vector<Gateway::RelayParameters> requested;
 };
 
 }
 
-// The load pattern: shards that are late in every part. Asked again by the gateway that took the search, without connections or repeats of its own,
-// most searches failed that had too few shards at their target (201 of 2,403 on the print bureau's heaviest day; 52 when owners are asked again).
-Test(FanOutRequest, asksTheOwnerAgainForWhatTheSearchNeedsAfterItsTarget)
+// Guards against searches that fail because shards are late in every part. When the requesting gateway retried them itself, without open connections and
+// without enough retry budget, 201 of 2,403 searches under heavy load failed, having too few shards at their target. 52 failed when owners retry.
+Test(FanOutRequest, retriesRequiredShardsAtOwnerAfterTarget)
 {
     OwnerFixture fixture(1.0);
     const auto response = fixture.ask("r1");
     cr_assert_eq(response.status, 200);
     cr_assert_eq(response.body, record('b') + record('a'));
-    cr_assert_eq(fixture.asked.size(), 2);
-    const auto &again = fixture.asked.back();
-    cr_assert(again.shards == std::vector{Core::ServiceName("b")});
-    cr_assert(again.before.executions == 1 && again.before.sends == 1 && again.before.counted, "the owner pays the repeat, and keeps to the attempts");
-    cr_assert_eq(again.maximumMissing, 0, "nothing is gained by an answer without it");
+    cr_assert_eq(fixture.requested.size(), 2);
+    const auto &retry = fixture.requested.back();
+    cr_assert(retry.shards == std::vector{Core::ServiceName("b")});
+    cr_assert(retry.before.executions == 1 && retry.before.sends == 1 && retry.before.counted, "the owner counts a repeat and respects the attempt limit");
+    cr_assert_eq(retry.maximumMissing, 0, "a part without the shard would be useless");
 }
 
-Test(FanOutRequest, asksNobodyAgainOnceASearchHasEnough)
+Test(FanOutRequest, doesNotRetryIfCoverageIsReached)
 {
     OwnerFixture fixture(0.5);
     const auto response = fixture.ask("r1");
     cr_assert_eq(response.status, 200);
     cr_assert(*header(response, "Missing-Parts") == "1");
-    cr_assert_eq(fixture.asked.size(), 1);
+    cr_assert_eq(fixture.requested.size(), 1);
     cr_assert_eq(fixture.pool.counters().attempts, 0);
 }
