--- a/Libraries/LibGateway/GatewayNode.cpp
+++ b/Libraries/LibGateway/GatewayNode.cpp
@@ -426,7 +426,7 @@
             {"declaration", this->routes ? this->routes->declaration().version.value() : -1},
             {"confirmed", this->watcher.isConfirmed() ? 1 : 0}});
     const auto &settings = this->options.requests;
-    const auto usual = this->watcher.isConfirmed() ? settings.retryAfter : settings.comeBackAfterStart;
+    const auto usual = this->watcher.isConfirmed() ? settings.retryAfter : settings.retryAfterStartup;
     answer(this->options.dialect.writeRefusal(refusal, request.id, retryAfter.value_or(usual)));
 }
 
@@ -453,7 +453,7 @@
 void GatewayNode::handleRelayed(Wire::Request message, const Wire::ExchangePointer &exchange)
 {
     auto parameters = extractRelayParameters(message.headers);
-    const auto answer = answerToSend(exchange, takeSendName(message.headers));
+    const auto answer = answerToSend(exchange, extractSendId(message.headers));
     const auto quotaQuestion = takeQuotaQuestion(message.headers);
     CallerRequest request = this->options.dialect.readRequest(std::move(message));
     if (quotaQuestion.has_value()) {
@@ -524,7 +524,7 @@
 {
     // A caller can't claim to be another gateway.
     (void)extractRelayParameters(request.message.headers);
-    (void)takeSendName(request.message.headers);
+    (void)extractSendId(request.message.headers);
     (void)takeQuotaQuestion(request.message.headers);
     const auto context = this->contextFor(route, workspace, std::nullopt);
     if (!route.isFanOut()) {
--- a/Libraries/LibGateway/RelayPlan.cpp
+++ b/Libraries/LibGateway/RelayPlan.cpp
@@ -203,7 +203,7 @@
     Fleet::AllowedRegions allowedRegions;
     std::optional<Fleet::WorkspaceName> workspace;
     std::erase_if(headers, [&](const Wire::Header &header) {
-        if (Wire::sameName(header.name, RelayHeader::Terms)) {
+        if (Wire::sameName(header.name, RelayHeader::Parameters)) {
             parameters = parseRelayParameters(header.value);
             return true;
         }
@@ -238,7 +238,7 @@
     return parameters;
 }
 
-std::string takeSendName(Wire::Headers &headers)
+std::string extractSendId(Wire::Headers &headers)
 {
     return Wire::extractHeader(headers, RelayHeader::Send).value_or(std::string());
 }
@@ -254,7 +254,7 @@
     numbers += "," + std::to_string(parameters.maximumMissing) + (parameters.mayRelayFurther ? ",1" : ",0") + (parameters.isHedge ? ",1" : ",0");
     numbers += "," + std::to_string(parameters.before.executions) + "," + std::to_string(parameters.before.sends) + (parameters.before.counted ? ",1" : ",0");
     numbers += "," + std::to_string(parameters.topRecords);
-    headers.push_back({RelayHeader::Terms, std::move(numbers)});
+    headers.push_back({RelayHeader::Parameters, std::move(numbers)});
     headers.push_back({RelayHeader::Shards, Core::joinList(shards)});
     if (!parameters.allowedRegions.isAnywhere()) {
         const auto &names = parameters.allowedRegions.names().value();
--- a/Libraries/LibGateway/RelayPlan.h
+++ b/Libraries/LibGateway/RelayPlan.h
@@ -98,7 +98,7 @@
 namespace RelayHeader
 {
 /** Comma-separated numbers: the fields of RelayParameters in their order, times in milliseconds. */
-constexpr const char *Terms = "Crankrudder-Part-Terms";
+constexpr const char *Parameters = "Crankrudder-Part-Terms";
 /** Comma-separated names of the requested shards. */
 constexpr const char *Shards = "Crankrudder-Shards";
 /** A record in hexadecimal; the answer needs no record below it. Optional. */
@@ -151,7 +151,7 @@
 [[nodiscard]] std::optional<RelayParameters> extractRelayParameters(Wire::Headers &headers);
 
 /** Extracts the id of a send from the headers of a request. Returns an empty string if there is none. */
-[[nodiscard]] std::string takeSendName(Wire::Headers &headers);
+[[nodiscard]] std::string extractSendId(Wire::Headers &headers);
 
 /** Adds the parameters to the headers of a request. */
 void addRelayParameters(Wire::Headers &headers, const RelayParameters &parameters);
--- a/Libraries/LibGateway/RequestSettings.cpp
+++ b/Libraries/LibGateway/RequestSettings.cpp
@@ -15,11 +15,11 @@
 // Smaller shares are treated as this one, so that a wrong setting does not give an unusable reserve.
 static constexpr double MinimumShare = 0.05;
 
-Core::Duration returnFloorFor(const RequestSettings &settings, double processorShare)
+Core::Duration minimumReturnReserveFor(const RequestSettings &settings, double processorShare)
 {
     const double share = std::clamp(processorShare, MinimumShare, MeasuredShare);
     const double slower = 1.0 / share - 1.0 / MeasuredShare;
-    return settings.returnFloor + Core::Duration(static_cast<Core::Duration::rep>(slower * static_cast<double>(settings.returnWork.count())));
+    return settings.minimumReturnReserve + Core::Duration(static_cast<Core::Duration::rep>(slower * static_cast<double>(settings.returnProcessorTime.count())));
 }
 
 }
--- a/Libraries/LibGateway/RequestSettings.h
+++ b/Libraries/LibGateway/RequestSettings.h
@@ -15,14 +15,14 @@
 /** Settings that apply to every route. Settings that differ by route are part of the declaration. */
 struct RequestSettings {
     /** Fraction of the target latency that is reserved for sending the answer to the caller, including the caller opening a new connection. */
-    double returnShare{0.13};
+    double returnReserveShare{0.13};
     /**
      * Minimum of this reserve: four times the one-way latency to the farthest known callers (3 ms), plus processing time in both
      * programs.
      */
-    Core::Duration returnFloor{Core::milliseconds(16)};
+    Core::Duration minimumReturnReserve{Core::milliseconds(16)};
     /** Processor time on a whole core that answers take from the target on: merging, writing, and other work that is due at the same time. */
-    Core::Duration returnWork{Core::milliseconds(1)};
+    Core::Duration returnProcessorTime{Core::milliseconds(1)};
     /** An attempt without a reply is hedged after this multiple of the typical latency. */
     double hedgeFactor{2.2};
     /** Minimum hedge delay: about one round trip to the farthest region. */
@@ -37,7 +37,7 @@
      * Sent as Retry-After while this gateway does not know the declaration yet: about the remaining time of a startup. Callers retry once, so an earlier
      * retry would fail as well.
      */
-    Core::Duration comeBackAfterStart{Core::milliseconds(600)};
+    Core::Duration retryAfterStartup{Core::milliseconds(600)};
     /** Reserved at the end of the time that a request may take, so that its answer is sent before that time is over. */
     Core::Duration answerReserve{Core::milliseconds(20)};
     /** Fraction of the target latency that a single request waits for free capacity before it is refused. */
@@ -56,6 +56,6 @@
  * Returns the minimum reserve for a gateway that runs on `processorShare` of a core: the same work takes longer on a smaller share. The setting itself was
  * measured on a quarter of a core, so it already includes the work at that share.
  */
-[[nodiscard]] Core::Duration returnFloorFor(const RequestSettings &settings, double processorShare);
+[[nodiscard]] Core::Duration minimumReturnReserveFor(const RequestSettings &settings, double processorShare);
 
 }
--- a/Libraries/LibGateway/RoutedRequest.cpp
+++ b/Libraries/LibGateway/RoutedRequest.cpp
@@ -44,7 +44,7 @@
 // Returns the time from arrival until the answer should be sent in order to reach the caller within the target latency.
 static Core::Duration timeToTarget(const RequestSettings &settings, const Fleet::Route &route)
 {
-    const auto reserve = std::max(scaled(route.targetLatency, settings.returnShare), settings.returnFloor);
+    const auto reserve = std::max(scaled(route.targetLatency, settings.returnReserveShare), settings.minimumReturnReserve);
     return std::max(route.targetLatency - reserve, route.targetLatency / 2);
 }
 
--- a/Libraries/LibGateway/SlackShares.cpp
+++ b/Libraries/LibGateway/SlackShares.cpp
@@ -38,7 +38,7 @@
 {
     // Rule S2.
     if (now - this->cellsLastOwnedAt >= 2 * this->options.window) {
-        return this->shareOfOther();
+        return this->shareOfUnshardedService();
     }
     const double equalShare = (1.0 - this->options.ownersShare) / this->gateways;
     // Rule S1.
@@ -47,11 +47,11 @@
     if (!isOwner) {
         return equalShare;
     }
-    const auto owners = this->options.ownersInZone * std::max<std::size_t>(1, zones);
+    const auto owners = this->options.ownersPerZone * std::max<std::size_t>(1, zones);
     return equalShare + this->options.ownersShare / static_cast<double>(owners);
 }
 
-double SlackShares::shareOfOther() const
+double SlackShares::shareOfUnshardedService() const
 {
     return 1.0 / this->gateways;
 }
--- a/Libraries/LibGateway/SlackShares.h
+++ b/Libraries/LibGateway/SlackShares.h
@@ -34,7 +34,7 @@
      */
     double ownersShare{0.5};
     /** Owners of a cell in one zone that share the slack: as many as are used for a search in six seconds by each of 300 gateways. */
-    std::size_t ownersInZone{4};
+    std::size_t ownersPerZone{4};
     /** Length of the sliding window in which the slack is counted. */
     Core::Duration window{Core::seconds(10)};
 };
@@ -63,7 +63,7 @@
     [[nodiscard]] double shareOfShard(const CellKey &cell, std::size_t zones, bool inOwnZone, Core::Instant now) const;
 
     /** Returns the share for a service that is not a shard. */
-    [[nodiscard]] double shareOfOther() const;
+    [[nodiscard]] double shareOfUnshardedService() const;
 
 private:
     SlackShareOptions options;
--- a/Tests/LibGateway/TestSlackShares.cpp
+++ b/Tests/LibGateway/TestSlackShares.cpp
@@ -77,7 +77,7 @@
     cr_assert_eq(shares.shareOfShard(testCell, ZonesOfShard, true, at(20.0)), 1.0 / 11);
     shares.setGateways(60, true, at(30.0));
     cr_assert_lt(shares.shareOfShard(testCell, ZonesOfShard, true, at(49.0)), 1.0 / 60);
-    cr_assert_eq(shares.shareOfOther(), 1.0 / 60);
+    cr_assert_eq(shares.shareOfUnshardedService(), 1.0 / 60);
 }
 
 namespace
