--- a/Libraries/LibGateway/FanOutRequest.cpp
+++ b/Libraries/LibGateway/FanOutRequest.cpp
@@ -151,13 +151,13 @@
         const auto found = std::find_if(missing.begin(), missing.end(), [&row](const Protocol::MissingShard &shard) {
             return shard.serviceName == row.shard.value();
         });
-        const bool isIn = found == missing.end();
+        const bool isInPart = found == missing.end();
         if (sentPart.part->call().state() == CallState::Answered) {
-            this->context.pool->learnFromPart(row.shard, sentPart.part->zone(), isIn ? 1.0 : MissedRatio);
+            this->context.pool->learnFromPart(row.shard, sentPart.part->zone(), isInPart ? 1.0 : MissedRatio);
         }
         if (sentPart.part->isHedge()) {
-            this->handleHedgedPart(sentPart, row, isIn ? nullptr : &*found);
-        } else if (isIn) {
+            this->handleHedgedPart(sentPart, row, isInPart ? nullptr : &*found);
+        } else if (isInPart) {
             row.inPart = true;
         } else {
             this->recordMissing(sentPart, row, *found);
@@ -232,24 +232,24 @@
             this->startDirect(row, row.remoteAttempts);
         }
     }
-    for (auto &[what, rowNumbers] : retries) {
-        this->retryAtOwner(what, std::move(rowNumbers));
+    for (auto &[retry, rowNumbers] : retries) {
+        this->retryAtOwner(retry, std::move(rowNumbers));
     }
 }
 
 // Sends the shards to the owner again: it has connections to the backend servers, knows which of them are late, and has the larger share of the retry budget.
-void FanOutRequest::retryAtOwner(const PartRetry &what, std::vector<std::size_t> rowNumbers)
+void FanOutRequest::retryAtOwner(const PartRetry &retry, std::vector<std::size_t> rowNumbers)
 {
-    PartPlan part = what.sentPart->part->sentPlan();
+    PartPlan part = retry.sentPart->part->sentPlan();
     part.shards.clear();
     part.mayRelayFurther = false;
     part.isRetry = true;
     for (const auto number : rowNumbers) {
         part.shards.push_back(this->rows[number].shard);
     }
-    part.before.executions = what.executions;
-    part.before.sends = what.sends;
-    part.before.counted = what.counted;
+    part.before.executions = retry.executions;
+    part.before.sends = retry.sends;
+    part.before.counted = retry.counted;
     this->startPart(part, std::move(rowNumbers));
 }
 
@@ -293,7 +293,7 @@
     }
     hedges.owners = this->context.cells->commonOwnersOf(late, this->route.shards.size(), zone);
     const bool savesReply = !hedges.minimumRecord.empty() && this->topRecords() * RecordBytes >= LargeReplyBytes;
-    // An owner has open connections to the backend servers. Opening one from here would take a round trip or more.
+    // An owner has open connections to the backend servers. Opening one from this gateway would take a round trip or more.
     const bool asPart = rowNumbers.size() >= MinimumHedgesInPart || savesReply || !hedges.owners.empty();
     std::vector<std::size_t> hedged;
     for (const auto number : rowNumbers) {
@@ -453,7 +453,7 @@
     }
 }
 
-// Returns the lowest of the wanted records that are already here: a lesser record cannot be in the answer if these stay. A direct answer whose hedge is in
+// Returns the lowest of the wanted records that have arrived: a lesser record cannot be in the answer if these stay. A direct answer whose hedge is in
 // flight may still be replaced by the answer of another backend server, which need not hold the same records, so such rows are left out.
 std::string FanOutRequest::minimumRecord() const
 {
--- a/Libraries/LibGateway/FanOutRequest.h
+++ b/Libraries/LibGateway/FanOutRequest.h
@@ -88,7 +88,7 @@
     void retryMissingShards();
     /** Returns whether the answer to an attempt that is sent now is expected before the target. */
     [[nodiscard]] bool canBeInTime() const;
-    void retryAtOwner(const PartRetry &what, std::vector<std::size_t> rowNumbers);
+    void retryAtOwner(const PartRetry &retry, std::vector<std::size_t> rowNumbers);
     void completeForCallerIfPossible();
     void completeForGatewayIfPossible();
     void answerCaller();
--- a/Libraries/LibGateway/RelayedPart.cpp
+++ b/Libraries/LibGateway/RelayedPart.cpp
@@ -23,11 +23,16 @@
 
 RelayedPart::RelayedPart(
     const RequestContext &context, const Fleet::Route &route, const CallerRequest &request, const PartPlan &plan, const PartParameters &partParameters)
-    : context(context), route(route), plan(plan), relays(relayService(plan.zone)), relayRoute(makeRelayRoute(route, this->relays)), request(request)
+    : context(context)
+    , route(route)
+    , plan(plan)
+    , relayServiceName(relayService(plan.zone))
+    , relayRoute(makeRelayRoute(route, this->relayServiceName))
+    , request(request)
 {
     const auto now = context.timers->now();
     // The serving gateway is given so much less time that its part arrives by the time when the whole answer should be sent.
-    const auto transitTime = scaled(context.relays->roundTripTo(this->relays), RoundTripFactor) + RelayOverhead;
+    const auto transitTime = scaled(context.relays->roundTripTo(this->relayServiceName), RoundTripFactor) + RelayOverhead;
     this->parameters = makeCallParameters(*context.settings, *this->relayRoute, this->request, *context.relayLatencies, now);
     this->parameters.expiresAt = std::min(this->parameters.expiresAt, partParameters.expiresAt);
     this->parameters.urgency = urgencyOf(context.workspace, route);
@@ -46,7 +51,7 @@
             .topRecords = partParameters.topRecords,
             .allowedRegions = partParameters.allowedRegions,
             .workspace = this->request.workspace});
-    this->relayCall = std::make_unique<ShardCall>(this->parameters, this->relays, *context.relays, *context.timers);
+    this->relayCall = std::make_unique<ShardCall>(this->parameters, this->relayServiceName, *context.relays, *context.timers);
 }
 
 void RelayedPart::start(std::function<void()> finished)
--- a/Libraries/LibGateway/RelayedPart.h
+++ b/Libraries/LibGateway/RelayedPart.h
@@ -71,7 +71,7 @@
     RequestContext context;
     const Fleet::Route &route;
     PartPlan plan;
-    Core::ServiceName relays;
+    Core::ServiceName relayServiceName;
     std::shared_ptr<const Fleet::Route> relayRoute;
     CallerRequest request;
     CallParameters parameters;
--- a/Libraries/LibGateway/RequestSettings.h
+++ b/Libraries/LibGateway/RequestSettings.h
@@ -16,10 +16,7 @@
 struct RequestSettings {
     /** Fraction of the target latency that is reserved for sending the answer to the caller, including the caller opening a new connection. */
     double returnReserveShare{0.13};
-    /**
-     * Minimum of this reserve: four times the one-way latency to the farthest known callers (3 ms), plus processing time in both
-     * programs.
-     */
+    /** Minimum of this reserve: four times the one-way latency to the farthest known callers (3 ms), plus processing time in both programs. */
     Core::Duration minimumReturnReserve{Core::milliseconds(16)};
     /** Processor time on a whole core that answers take from the target on: merging, writing, and other work that is due at the same time. */
     Core::Duration returnProcessorTime{Core::milliseconds(1)};
--- a/Libraries/LibGateway/ShardCall.h
+++ b/Libraries/LibGateway/ShardCall.h
@@ -132,7 +132,7 @@
         AttemptId id{0};
         BackendName backend;
         Core::Instant startedAt;
-        // Set if the backend server was told less time than the caller has left.
+        // Time limit that was sent to the backend server; set if it is less than the caller has left.
         std::optional<Core::Duration> limit;
     };
 
--- a/Libraries/LibGateway/SlackShares.cpp
+++ b/Libraries/LibGateway/SlackShares.cpp
@@ -14,9 +14,9 @@
 {
 }
 
-void SlackShares::setGateways(int all, bool cellsHaveOwners, Core::Instant now)
+void SlackShares::setGateways(int count, bool cellsHaveOwners, Core::Instant now)
 {
-    this->gateways = std::max(1, all);
+    this->gateways = std::max(1, count);
     if (cellsHaveOwners) {
         this->cellsLastOwnedAt = now;
     } else {
--- a/Libraries/LibGateway/SlackShares.h
+++ b/Libraries/LibGateway/SlackShares.h
@@ -51,7 +51,7 @@
     SlackShares(SlackShareOptions options, Core::Instant start);
 
     /** Updates the number of gateways, and whether there are enough of them for cells to have owners. */
-    void setGateways(int all, bool cellsHaveOwners, Core::Instant now);
+    void setGateways(int count, bool cellsHaveOwners, Core::Instant now);
 
     /** Updates the cells of which this gateway is one of the owners that share the slack. */
     void setOwnCells(const std::set<CellKey> &cells, Core::Instant now);
--- a/Tests/LibGateway/TestRequests.cpp
+++ b/Tests/LibGateway/TestRequests.cpp
@@ -173,11 +173,11 @@
     GatewayFixture fixture;
     makeSingle(fixture, false);
     const auto &refusing = fixture.add("s", "refusing", failing(503, true));
-    const auto &sound = fixture.add("s", "sound", answering("fine"));
+    const auto &healthy = fixture.add("s", "sound", answering("fine"));
     for (int round = 0; round < 20; ++round) {
         cr_assert(fixture.ask("r" + std::to_string(round), "POST").body == "fine");
     }
-    cr_assert(sound.requests.size() == 20);
+    cr_assert(healthy.requests.size() == 20);
     cr_assert(refusing.requests.size() <= 5, "%zu", refusing.requests.size());
 }
 
@@ -249,11 +249,11 @@
 {
     GatewayFixture fixture;
     makeSearch(fixture, {Core::ServiceName("a"), Core::ServiceName("b")}, 1.0);
-    const auto &sound = fixture.add("a", "a1", silent);
+    const auto &healthy = fixture.add("a", "a1", silent);
     fixture.add("b", "b1", failing(500, false));
     const auto answer = fixture.ask("r1");
     cr_assert(answer.status == 502, "a shard ran, so the search must not be reported as not run");
-    cr_assert(sound.requests.size() <= 1);
+    cr_assert(healthy.requests.size() <= 1);
     cr_assert(fixture.summary->took < Core::seconds(9), "the request did not wait for the silent backend server");
 }
 
