--- a/Libraries/LibGateway/FanOutRequest.cpp
+++ b/Libraries/LibGateway/FanOutRequest.cpp
@@ -153,7 +153,7 @@
         });
         const bool isInPart = found == missing.end();
         if (sentPart.part->call().state() == CallState::Answered) {
-            this->context.pool->learnFromPart(row.shard, sentPart.part->zone(), isInPart ? 1.0 : MissedRatio);
+            this->context.pool->recordPartLatency(row.shard, sentPart.part->zone(), isInPart ? 1.0 : MissedRatio);
         }
         if (sentPart.part->isHedge()) {
             this->handleHedgedPart(sentPart, row, isInPart ? nullptr : &*found);
