--- a/Libraries/LibGateway/BackendPool.cpp
+++ b/Libraries/LibGateway/BackendPool.cpp
@@ -28,7 +28,7 @@
     , poll(poll)
     , timers(timers)
     , choice(this->options.choice)
-    , coldAllowance(this->options.cold)
+    , coldAllowance(this->options.warmup)
     , trialPeriod(timers.now())
 {
     this->sweepEvery(RestPeriod);
@@ -198,7 +198,7 @@
     return Fleet::inSameRegion(this->options.regions, this->options.zone.value(), zone);
 }
 
-void BackendPool::learnFromPart(const Core::ServiceName &service, const std::string &zone, double ratio)
+void BackendPool::recordPartLatency(const Core::ServiceName &service, const std::string &zone, double ratio)
 {
     const auto found = this->services.find(service);
     if (found == this->services.end()) {
@@ -297,7 +297,7 @@
         return true;
     }
     const int total = this->coldAllowance.total(service.warmupRequestsPerSecond);
-    const int share = this->coldShare ? this->coldShare(backend.service, backend.zone, total) : 0;
+    const int share = this->warmupShare ? this->warmupShare(backend.service, backend.zone, total) : 0;
     return this->coldAllowance.isWithin(backend.name, share, now);
 }
 
@@ -313,14 +313,14 @@
 {
     const auto before = std::exchange(this->evacuatedZones, std::set<std::string>(zones.begin(), zones.end()));
     for (const auto &[name, backend] : this->backends) {
-        // Backend servers of a zone that is used again may have turned cold meanwhile, and say so with a heartbeat that is yet to come.
+        // Backend servers of a zone that is used again may have turned warmup meanwhile, and say so with a heartbeat that is yet to come.
         if (before.contains(backend->zone) && !this->evacuatedZones.contains(backend->zone)) {
             this->assumeCold(*backend);
         }
     }
 }
 
-Backend *BackendPool::choose(const Wanted &wanted)
+Backend *BackendPool::choose(const SelectionCriteria &wanted)
 {
     const auto &row = this->serviceOf(wanted.service);
     std::vector<Backend *> candidates;
@@ -331,7 +331,7 @@
     return this->choice.best(candidates, wanted.typicalLatency, wanted.within, this->timers.now());
 }
 
-Backend *BackendPool::firstSound(const std::vector<BackendName> &names, const Wanted &wanted)
+Backend *BackendPool::firstHealthy(const std::vector<BackendName> &names, const SelectionCriteria &wanted)
 {
     const auto now = this->timers.now();
     for (const auto &name : names) {
@@ -354,7 +354,7 @@
 
 std::optional<Core::Duration> BackendPool::connectLimit(const Backend &backend) const
 {
-    if (!this->options.acceptsAtOnce) {
+    if (!this->options.acceptsPromptly) {
         return std::nullopt;
     }
     // Its own where one is known, else that of the nearest one of its service.
@@ -363,21 +363,21 @@
     return std::min(this->options.connectTimeout, Wire::acknowledgementLimit(roundTrip));
 }
 
-std::optional<Core::Duration> BackendPool::trialMargin(bool keptApart) const
+std::optional<Core::Duration> BackendPool::trialMargin(bool reuseAvoided) const
 {
     if (!this->options.trial.has_value()) {
         return std::nullopt;
     }
     const auto &trial = this->options.trial.value();
-    return keptApart ? trial.margin : this->trialPeriod.marginAt(trial, this->timers.now());
+    return reuseAvoided ? trial.margin : this->trialPeriod.marginAt(trial, this->timers.now());
 }
 
-ConnectionPointer BackendPool::openConnection(Backend &backend, bool keptApart)
+ConnectionPointer BackendPool::openConnection(Backend &backend, bool reuseAvoided)
 {
     auto opened = Wire::ClientConnection::create({.endpoint = backend.endpoint,
                                                      .acknowledgementTimeout = this->options.acknowledgementTimeout,
                                                      .connectLimit = this->connectLimit(backend),
-                                                     .trialMargin = this->trialMargin(keptApart),
+                                                     .trialMargin = this->trialMargin(reuseAvoided),
                                                      .limits = {}},
         this->poll,
         this->timers);
@@ -403,14 +403,14 @@
     if (auto kept = backend.connections.idleFor(key)) {
         return kept;
     }
-    const bool keptApart = backend.connections.hasIdle();
-    if (keptApart) {
-        ++this->counts.keptApart;
+    const bool reuseAvoided = backend.connections.hasIdle();
+    if (reuseAvoided) {
+        ++this->counts.reuseAvoided;
         Core::logEvent(Core::LogLevel::Information,
             "connection.kept_apart",
             {{"request", key.value()}, {"backend", backend.name.value()}, {"connections", backend.connections.size()}});
     }
-    return this->openConnection(backend, keptApart);
+    return this->openConnection(backend, reuseAvoided);
 }
 
 void BackendPool::connectionClosed(Backend &backend, const Wire::ClientConnection *connection)
@@ -538,7 +538,7 @@
     const auto now = this->timers.now();
     if (outcome.end != AttemptEnd::Replied) {
         (outcome.end == AttemptEnd::NotSent ? this->counts.notSent : this->counts.broken) += 1;
-        // It may have started again, and answer the next request before it has said that it is cold.
+        // It may have started again, and answer the next request before it has said that it is warmup.
         this->assumeCold(backend);
         if (outcome.end == AttemptEnd::Unacknowledged) {
             this->recordSilence(backend, outcome.reason);
--- a/Libraries/LibGateway/BackendPool.h
+++ b/Libraries/LibGateway/BackendPool.h
@@ -34,7 +34,7 @@
     /** A server that is not silent answers a new connection within this time, also across regions. */
     Core::Duration connectTimeout{Core::milliseconds(600)};
     /** The other side's machines accept a connection within a few round trips as long as they run, so one that has taken longer is given up. */
-    bool acceptsAtOnce{false};
+    bool acceptsPromptly{false};
     /** Sent bytes that stay unacknowledged for this long break a connection; a machine that runs acknowledges within a round trip. */
     Core::Duration acknowledgementTimeout{Core::milliseconds(1200)};
     /** Failures in a row after which one is avoided. Silence counts at once. */
@@ -49,7 +49,7 @@
     /** A connection that was not used for this long is closed. */
     Core::Duration idleLimit{Core::seconds(20)};
     BackendChoiceOptions choice;
-    WarmupOptions cold;
+    WarmupOptions warmup;
     ConnectionShares connections;
     /** Connections to a backend server of a service that is not declared. */
     int undeclaredCap{1};
@@ -67,7 +67,7 @@
 };
 
 /** What a backend server is wanted for. */
-struct Wanted {
+struct SelectionCriteria {
     const Core::ServiceName &service;
     /** Those that are not asked again. */
     const std::vector<BackendName> &tried;
@@ -96,7 +96,7 @@
     /** Answers that were passed over, since they belong to another send. */
     std::uint64_t discarded{0};
     /** Sends for which a kept connection was not used, because it had carried one of the same key before. */
-    std::uint64_t keptApart{0};
+    std::uint64_t reuseAvoided{0};
     /** Backend servers that sweeps looked at: what a gateway costs at rest. */
     std::uint64_t swept{0};
 };
@@ -126,10 +126,10 @@
     void setEvacuatedZones(const std::vector<std::string> &zones);
 
     /** The best backend server that may be asked and has room, or nullptr. */
-    [[nodiscard]] Backend *choose(const Wanted &wanted);
+    [[nodiscard]] Backend *choose(const SelectionCriteria &wanted);
 
     /** The first of `names` that may be asked, has room, and neither failed lately nor looks stuck; nullptr when there is none. */
-    [[nodiscard]] Backend *firstSound(const std::vector<BackendName> &names, const Wanted &wanted);
+    [[nodiscard]] Backend *firstHealthy(const std::vector<BackendName> &names, const SelectionCriteria &wanted);
 
     /** Sends, unless the backend server may not be asked: then the outcome is NotSent. `done` is called exactly once, from the loop, unless the attempt is
      * abandoned. */
@@ -159,7 +159,7 @@
     /** Whether one of the best backend servers is in this region. */
     [[nodiscard]] bool isGoodInRegion(const Core::ServiceName &service, Core::Duration typicalLatency, const Fleet::AllowedRegions &allowedRegions) const;
     /** Another gateway asked the backend servers of a service in a zone; `ratio` as in BackendHealth::recordAnswer(). */
-    void learnFromPart(const Core::ServiceName &service, const std::string &zone, double ratio);
+    void recordPartLatency(const Core::ServiceName &service, const std::string &zone, double ratio);
     /** The shortest round trip to a backend server of a service; an assumption before one was measured. */
     [[nodiscard]] Core::Duration roundTripTo(const Core::ServiceName &service) const;
     [[nodiscard]] const PoolCounters &counters() const;
@@ -171,8 +171,8 @@
 
     /** This gateway's part of a service's slack of repeats, told the zones that have or had its backend servers; an equal part when there is none. */
     std::function<double(const Core::ServiceName &service, const std::set<std::string> &zones)> slackShare;
-    /** This gateway's part of `total` requests that a cold backend server of a service in a zone bears a second; none when there is no hook. */
-    std::function<int(const Core::ServiceName &service, const std::string &zone, int total)> coldShare;
+    /** This gateway's part of `total` requests that a warmup backend server of a service in a zone bears a second; none when there is no hook. */
+    std::function<int(const Core::ServiceName &service, const std::string &zone, int total)> warmupShare;
 
 private:
     struct Waiter {
@@ -198,22 +198,22 @@
     [[nodiscard]] Service &serviceOf(const Core::ServiceName &name);
     [[nodiscard]] bool isInRegion(const std::string &zone) const;
     [[nodiscard]] std::size_t connectionLimit(const Backend &backend, const Service &service) const;
-    /** Whether one more can be sent now; `request` as in Wanted. */
+    /** Whether one more can be sent now; `request` as in SelectionCriteria. */
     [[nodiscard]] bool hasRoom(const Backend &backend, const Service &service, const CallerRequest *request = nullptr) const;
     /** Whether one of its backend servers has room for some request. */
     [[nodiscard]] bool hasAnyRoom(const Service &service) const;
     /** Whether it may be asked at all. The one place that decides; send() asks it again, so that nothing gets past it. */
     [[nodiscard]] bool isEligible(const Backend &backend, const Fleet::AllowedRegions &allowedRegions) const;
-    /** Whether a cold backend server bears one more from here. */
+    /** Whether a warmup backend server bears one more from here. */
     [[nodiscard]] bool bearsMore(const Backend &backend, const Service &service) const;
-    /** It may have started again, or come back otherwise, and not have said yet that it is cold. */
+    /** It may have started again, or come back otherwise, and not have said yet that it is warmup. */
     void assumeCold(Backend &backend);
     void retire(std::unique_ptr<Backend> former);
     /** A connection that has not carried a send of this key: a kept one, or a new one. */
     [[nodiscard]] ConnectionPointer connectionFor(Backend &backend, const ReplyKey &key);
-    /** `keptApart`: beside idle ones that may not be used, so that the backend server may have as many as it takes. */
-    [[nodiscard]] ConnectionPointer openConnection(Backend &backend, bool keptApart);
-    [[nodiscard]] std::optional<Core::Duration> trialMargin(bool keptApart) const;
+    /** `reuseAvoided`: beside idle ones that may not be used, so that the backend server may have as many as it takes. */
+    [[nodiscard]] ConnectionPointer openConnection(Backend &backend, bool reuseAvoided);
+    [[nodiscard]] std::optional<Core::Duration> trialMargin(bool reuseAvoided) const;
     /** How long a new connection may take; nothing where connectTimeout alone bounds it. */
     [[nodiscard]] std::optional<Core::Duration> connectLimit(const Backend &backend) const;
     void connectionClosed(Backend &backend, const Wire::ClientConnection *connection);
--- a/Libraries/LibGateway/CellOwnership.cpp
+++ b/Libraries/LibGateway/CellOwnership.cpp
@@ -29,7 +29,7 @@
     return this->map;
 }
 
-void CellOwnership::noteSearch()
+void CellOwnership::recordSearch()
 {
     this->searchRate.note();
 }
@@ -112,7 +112,7 @@
     return this->shares.shareOfShard(cell, zones.size(), zones.contains(this->ownZone), now);
 }
 
-int CellOwnership::coldShareOf(const Core::ServiceName &service, const std::string &zone, int total, Core::Instant now) const
+int CellOwnership::warmupShareOf(const Core::ServiceName &service, const std::string &zone, int total, Core::Instant now) const
 {
     if (!this->view.mayOwn) {
         return 0;
--- a/Libraries/LibGateway/CellOwnership.h
+++ b/Libraries/LibGateway/CellOwnership.h
@@ -41,7 +41,7 @@
     void updateGateways(const Fleet::BackendRegistry &gateways, Core::Instant now);
     void applyDeclaration(const Fleet::Declaration &declaration);
     /** A caller brought a search. */
-    void noteSearch();
+    void recordSearch();
     /** To be called after each `span` of time. */
     void advance(const OwnershipView &view, Core::Duration span, Core::Instant now);
 
@@ -51,7 +51,7 @@
     [[nodiscard]] double slackShareOf(const Core::ServiceName &service, const std::set<std::string> &zones, Core::Instant now) const;
 
     /** This gateway's part of `total` requests a second that a cold backend server of a service in a zone bears. */
-    [[nodiscard]] int coldShareOf(const Core::ServiceName &service, const std::string &zone, int total, Core::Instant now) const;
+    [[nodiscard]] int warmupShareOf(const Core::ServiceName &service, const std::string &zone, int total, Core::Instant now) const;
 
 private:
     [[nodiscard]] std::set<CellKey> findOwnCells() const;
--- a/Libraries/LibGateway/FanOutRequest.cpp
+++ b/Libraries/LibGateway/FanOutRequest.cpp
@@ -152,7 +152,7 @@
         });
         const bool isIn = found == missing.end();
         if (asked.part->call().state() == CallState::Answered) {
-            this->context.pool->learnFromPart(row.shard, asked.part->zone(), isIn ? 1.0 : MissedRatio);
+            this->context.pool->recordPartLatency(row.shard, asked.part->zone(), isIn ? 1.0 : MissedRatio);
         }
         if (asked.part->isHedge()) {
             this->takeHedged(asked, row, isIn ? nullptr : &*found);
--- a/Libraries/LibGateway/GatewayNode.cpp
+++ b/Libraries/LibGateway/GatewayNode.cpp
@@ -35,7 +35,7 @@
     // Gateways take as many connections as come.
     relays.trial.reset();
     relays.connectTimeout = options.relay.connectTimeout;
-    relays.acceptsAtOnce = true;
+    relays.acceptsPromptly = true;
     relays.acknowledgementTimeout = options.relay.acknowledgementTimeout;
     relays.failuresUntilAvoided = 1;
     return relays;
@@ -74,8 +74,8 @@
     this->watcher.declarationReceived = [this](Fleet::DeclarationVersion version, const std::string &content) {
         this->adopt(version, content);
     };
-    this->pool.coldShare = [this](const Core::ServiceName &service, const std::string &zone, int total) {
-        return this->ownership.coldShareOf(service, zone, total, this->timers.now());
+    this->pool.warmupShare = [this](const Core::ServiceName &service, const std::string &zone, int total) {
+        return this->ownership.warmupShareOf(service, zone, total, this->timers.now());
     };
     this->watcher.evacuationsChanged = [this](const Protocol::Evacuations &evacuations) {
         this->applyEvacuations(evacuations);
@@ -154,7 +154,7 @@
             {"not_executed", sends.notExecuted},
             {"cancelled", sends.cancelled},
             {"answers_passed_over", sends.discarded + this->relays.counters().discarded},
-            {"kept_apart", sends.keptApart},
+            {"kept_apart", sends.reuseAvoided},
             {"connections_opened", sends.connectionsOpened},
             {"connections", this->pool.connectionCount()},
             {"gateways", this->pool.gatewayCount()},
@@ -326,7 +326,7 @@
 {
     this->quotas.updateGateways(this->gateways);
     const auto leaderKnown = this->watcher.lastLeaderSync();
-    this->quotas.setMayKeep(!this->draining && leaderKnown.has_value() && this->timers.now() - leaderKnown.value() < KeepingWithoutLeader);
+    this->quotas.setMayHoldShares(!this->draining && leaderKnown.has_value() && this->timers.now() - leaderKnown.value() < KeepingWithoutLeader);
 }
 
 void GatewayNode::admit(const Fleet::Workspace &workspace, CallerRequest request, const Wire::ExchangePointer &exchange)
@@ -375,7 +375,7 @@
             answerTo(exchange),
             isOver ? "over-quota" : "no-quota-keeper",
             // Without a keeper: about when one that comes now begins to let requests in.
-            isOver ? decision.retryAfter : this->options.quotas.quota.settleTime);
+            isOver ? decision.retryAfter : this->options.quotas.quota.handoverTime);
         return;
     }
     // The declaration in force may be another one by now.
@@ -396,7 +396,7 @@
         this->refuse(Refusal::NotRun, question, answer, "not-quota-keeper");
         return;
     }
-    answer(this->options.dialect.writePartial(question.id, writeQuotaAnswer(said)));
+    answer(this->options.dialect.writePartial(question.id, writeQuotaReply(said)));
 }
 
 // ---- Refusals and targets
@@ -454,7 +454,7 @@
 {
     auto parameters = extractRelayParameters(message.headers);
     const auto answer = answerToSend(exchange, takeSendName(message.headers));
-    const auto quotaQuestion = takeQuotaQuestion(message.headers);
+    const auto quotaQuestion = extractQuotaQuery(message.headers);
     CallerRequest request = this->options.dialect.readRequest(std::move(message));
     if (quotaQuestion.has_value()) {
         this->answerQuotaQuestion(quotaQuestion.value(), request, answer);
@@ -525,13 +525,13 @@
     // A caller can't claim to be another gateway.
     (void)extractRelayParameters(request.message.headers);
     (void)takeSendName(request.message.headers);
-    (void)takeQuotaQuestion(request.message.headers);
+    (void)extractQuotaQuery(request.message.headers);
     const auto context = this->contextFor(route, workspace, std::nullopt);
     if (!route.isFanOut()) {
         this->run(std::make_unique<SingleRequest>(context, this->routes, route, std::move(request), this->chooseTarget(route)), exchange, answerTo(exchange));
         return;
     }
-    this->ownership.noteSearch();
+    this->ownership.recordSearch();
     auto plan = planRelay(route.shards, this->relayView(route, workspace, false), this->options.relay);
     this->counts.relayed += plan.parts.size();
     this->run(std::make_unique<FanOutRequest>(context, this->routes, route, std::move(request), std::move(plan), RequestOrigin::Caller),
--- a/Libraries/LibGateway/QuotaKeepers.cpp
+++ b/Libraries/LibGateway/QuotaKeepers.cpp
@@ -61,7 +61,7 @@
     const auto parts = static_cast<double>(std::max<std::size_t>(1, keepers));
     const double capacity = all.capacity / parts;
     // In a window that holds the ends of some keepers of one part, each but the last may have started within it.
-    const auto changes = static_cast<double>(this->options.window / std::max<Core::Duration>(this->options.settleTime, Core::milliseconds(1)) + 1);
+    const auto changes = static_cast<double>(this->options.window / std::max<Core::Duration>(this->options.handoverTime, Core::milliseconds(1)) + 1);
     const double left = capacity - changes * StartTokens;
     const bool mayStartWithSome = left >= LeastCapacityShare * capacity;
     return {.capacity = mayStartWithSome ? left : capacity, .perSecond = all.perSecond / parts, .atStart = mayStartWithSome ? StartTokens : 0.0};
--- a/Libraries/LibGateway/QuotaKeepers.h
+++ b/Libraries/LibGateway/QuotaKeepers.h
@@ -33,7 +33,7 @@
     /** News of gateways reach all that are in touch within this time. */
     Core::Duration newsTime{Core::seconds(1)};
     /** One that may keep quotas from now on gives nothing out for this long: those who kept them before have heard of it by then, and stopped. */
-    Core::Duration settleTime{Core::seconds(2)};
+    Core::Duration handoverTime{Core::seconds(2)};
 };
 
 /** A gateway that may keep quotas. */
@@ -57,7 +57,7 @@
     /** The keepers of a workspace, each for an equal part of its quota. Valid until the next change. */
     [[nodiscard]] std::vector<const KeeperGateway *> keepersOf(const Fleet::Workspace &workspace) const;
 
-    /** What each of so many keepers gives out, as long as no part changes its keeper more often in a window than settleTime allows. */
+    /** What each of so many keepers gives out, as long as no part changes its keeper more often in a window than handoverTime allows. */
     [[nodiscard]] BucketSize partOf(const Fleet::Quota &quota, std::size_t keepers) const;
 
     [[nodiscard]] bool isInRegionOf(const KeeperGateway &keeper, const std::string &zone) const;
--- a/Libraries/LibGateway/QuotaLedger.cpp
+++ b/Libraries/LibGateway/QuotaLedger.cpp
@@ -23,7 +23,7 @@
     return this->allKeepers;
 }
 
-std::size_t QuotaLedger::keptCount() const
+std::size_t QuotaLedger::heldShareCount() const
 {
     return this->parts.size();
 }
@@ -40,7 +40,7 @@
     this->update(now);
 }
 
-void QuotaLedger::setMayKeep(bool may, Core::Instant now)
+void QuotaLedger::setMayHoldShares(bool may, Core::Instant now)
 {
     if (this->mayKeepSince.has_value() != may) {
         this->mayKeepSince = may ? std::optional(now) : std::nullopt;
@@ -69,7 +69,7 @@
                 // Q1
                 kept.emplace(workspace->name,
                     Part{.bucket = TokenBucket(size, std::max(now, this->mayKeepSince.value() + this->options.newsTime)),
-                        .givesFrom = std::max(now + this->options.newsTime, this->mayKeepSince.value() + this->options.settleTime),
+                        .givesFrom = std::max(now + this->options.newsTime, this->mayKeepSince.value() + this->options.handoverTime),
                         .promisedUntil = now});
                 continue;
             }
@@ -80,7 +80,7 @@
     this->parts = std::move(kept);
 }
 
-QuotaAnswer QuotaLedger::take(const Fleet::WorkspaceName &workspace, Core::Instant now)
+QuotaReply QuotaLedger::take(const Fleet::WorkspaceName &workspace, Core::Instant now)
 {
     const auto found = this->parts.find(workspace);
     if (found == this->parts.end()) {
--- a/Libraries/LibGateway/QuotaLedger.h
+++ b/Libraries/LibGateway/QuotaLedger.h
@@ -16,7 +16,7 @@
 {
 
 /** What a keeper says to one who asks for a request to be let in. */
-struct QuotaAnswer {
+struct QuotaReply {
     /** Otherwise it does not keep the workspace's quota. */
     bool isKeeper{false};
     bool granted{false};
@@ -29,7 +29,7 @@
 /**
  * What all keepers of a workspace let in, in any window, is within its quota, as long as nobody gives a part out at the same time as the one who
  * kept it before:
- * Q1. One that comes, and so becomes a keeper, gives nothing out until the one before has heard of it (QuotaOptions::settleTime). One that becomes a
+ * Q1. One that comes, and so becomes a keeper, gives nothing out until the one before has heard of it (QuotaOptions::handoverTime). One that becomes a
  *     keeper because another has gone takes the place of one that has stopped. A new part starts with no more than each keeps back for changes of its
  *     keeper (QuotaKeepers::partOf()).
  * Q2. One that no longer knows that a leader of the coordinators knows of it keeps nothing, before anybody else takes its place.
@@ -43,14 +43,14 @@
     void setGateways(const std::vector<KeeperGateway> &gateways, Core::Instant now);
     void setDeclaration(std::shared_ptr<const Fleet::Declaration> newDeclaration, Core::Instant now);
     /** Q2. False while this gateway drains, or may be given up by the others. */
-    void setMayKeep(bool may, Core::Instant now);
+    void setMayHoldShares(bool may, Core::Instant now);
 
     /** Lets one request of a workspace in, if this gateway keeps a part of its quota and there is some left. */
-    [[nodiscard]] QuotaAnswer take(const Fleet::WorkspaceName &workspace, Core::Instant now);
+    [[nodiscard]] QuotaReply take(const Fleet::WorkspaceName &workspace, Core::Instant now);
 
     [[nodiscard]] const QuotaKeepers &keepers() const;
     /** Workspaces that this gateway keeps a part for. */
-    [[nodiscard]] std::size_t keptCount() const;
+    [[nodiscard]] std::size_t heldShareCount() const;
 
 private:
     struct Part {
--- a/Libraries/LibGateway/QuotaLimiter.cpp
+++ b/Libraries/LibGateway/QuotaLimiter.cpp
@@ -19,19 +19,19 @@
 static constexpr double FewestAnswers = 20.0;
 static constexpr std::int64_t LongestMilliseconds = 86'400'000;
 
-std::optional<Fleet::WorkspaceName> takeQuotaQuestion(Wire::Headers &headers)
+std::optional<Fleet::WorkspaceName> extractQuotaQuery(Wire::Headers &headers)
 {
     auto name = Wire::extractHeader(headers, RelayHeader::Quota);
     return name.has_value() ? std::optional(Fleet::WorkspaceName(std::move(name.value()))) : std::nullopt;
 }
 
-std::string writeQuotaAnswer(const QuotaAnswer &answer)
+std::string writeQuotaReply(const QuotaReply &answer)
 {
     return (answer.granted ? "1," : "0,") + std::to_string(Core::toMilliseconds(answer.freeAfter)) + ","
         + std::to_string(Core::toMilliseconds(answer.retryAfter));
 }
 
-std::optional<QuotaAnswer> readQuotaAnswer(const std::string &body)
+std::optional<QuotaReply> readQuotaReply(const std::string &body)
 {
     const auto words = Core::splitList(body);
     static constexpr std::size_t Figures = 3;
@@ -46,7 +46,7 @@
         }
         numbers.push_back(number.value());
     }
-    return QuotaAnswer{.isKeeper = true, .granted = numbers[0] == 1, .freeAfter = Core::milliseconds(numbers[1]), .retryAfter = Core::milliseconds(numbers[2])};
+    return QuotaReply{.isKeeper = true, .granted = numbers[0] == 1, .freeAfter = Core::milliseconds(numbers[1]), .retryAfter = Core::milliseconds(numbers[2])};
 }
 
 QuotaLimiter::QuotaLimiter(const QuotaLimiterOptions &options,
@@ -78,9 +78,9 @@
     return this->counts;
 }
 
-std::size_t QuotaLimiter::keptCount() const
+std::size_t QuotaLimiter::heldShareCount() const
 {
-    return this->ledger.keptCount();
+    return this->ledger.heldShareCount();
 }
 
 void QuotaLimiter::updateGateways(const Fleet::BackendRegistry &gateways)
@@ -106,12 +106,12 @@
     this->emptyParts.clear();
 }
 
-void QuotaLimiter::setMayKeep(bool mayKeep)
+void QuotaLimiter::setMayHoldShares(bool mayKeep)
 {
-    this->ledger.setMayKeep(mayKeep, this->timers.now());
+    this->ledger.setMayHoldShares(mayKeep, this->timers.now());
 }
 
-QuotaAnswer QuotaLimiter::answer(const Fleet::WorkspaceName &workspace)
+QuotaReply QuotaLimiter::answer(const Fleet::WorkspaceName &workspace)
 {
     ++this->counts.answered;
     return this->ledger.take(workspace, this->timers.now());
@@ -206,7 +206,8 @@
     const auto service = relayService(keeper.zone);
     const Fleet::AllowedRegions anywhere;
     const auto typical = this->latencies.quantile(0.5, AssumedAnswerTime, FewestAnswers);
-    auto *backend = this->relays.firstSound({keeper.name}, Wanted{.service = service, .tried = {}, .typicalLatency = typical, .allowedRegions = anywhere});
+    auto *backend
+        = this->relays.firstHealthy({keeper.name}, SelectionCriteria{.service = service, .tried = {}, .typicalLatency = typical, .allowedRegions = anywhere});
     if (backend == nullptr) {
         return false;
     }
@@ -239,16 +240,16 @@
     question.attempt.reset();
     question.keeperTimer.cancel();
     const bool hasAnswer = outcome.end == AttemptEnd::Replied && outcome.reply.isSuccess();
-    const auto answer = hasAnswer ? readQuotaAnswer(outcome.reply.message.body) : std::nullopt;
+    const auto answer = hasAnswer ? readQuotaReply(outcome.reply.message.body) : std::nullopt;
     if (answer.has_value()) {
         this->latencies.add(this->timers.now() - question.began);
     }
-    if (!this->handleAnswer(number, keeper, answer.value_or(QuotaAnswer{}))) {
+    if (!this->handleAnswer(number, keeper, answer.value_or(QuotaReply{}))) {
         this->askNext(number);
     }
 }
 
-bool QuotaLimiter::handleAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaAnswer &answer)
+bool QuotaLimiter::handleAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaReply &answer)
 {
     if (!answer.isKeeper) {
         return false;
--- a/Libraries/LibGateway/QuotaLimiter.h
+++ b/Libraries/LibGateway/QuotaLimiter.h
@@ -72,21 +72,21 @@
     /** Takes the ready gateways over if any has come or gone. */
     void updateGateways(const Fleet::BackendRegistry &gateways);
     void applyDeclaration(const std::shared_ptr<const Fleet::Declaration> &declaration);
-    /** See QuotaLedger::setMayKeep(); to be called before each answer and decision. */
-    void setMayKeep(bool mayKeep);
+    /** See QuotaLedger::setMayHoldShares(); to be called before each answer and decision. */
+    void setMayHoldShares(bool mayKeep);
 
     /** Decides on a request of a workspace whose quota is bounded. The hook is called once, from here or later, unless cancel() comes first. */
     std::uint64_t decide(const Fleet::Workspace &workspace, const Core::RequestId &request, DecisionHook done);
     void cancel(std::uint64_t number);
 
     /** Another gateway asks this one. */
-    [[nodiscard]] QuotaAnswer answer(const Fleet::WorkspaceName &workspace);
+    [[nodiscard]] QuotaReply answer(const Fleet::WorkspaceName &workspace);
 
     /** Forgets what is out of date. */
     void sweep();
 
     [[nodiscard]] const QuotaCounters &counters() const;
-    [[nodiscard]] std::size_t keptCount() const;
+    [[nodiscard]] std::size_t heldShareCount() const;
 
 private:
     /** A decision that waits for keepers. */
@@ -116,7 +116,7 @@
     [[nodiscard]] bool askOther(std::uint64_t number, const KeeperGateway &keeper);
     void handleOutcome(std::uint64_t number, const KeeperGateway &keeper, const AttemptOutcome &outcome);
     /** Returns whether the question is decided. */
-    [[nodiscard]] bool handleAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaAnswer &answer);
+    [[nodiscard]] bool handleAnswer(std::uint64_t number, const KeeperGateway &keeper, const QuotaReply &answer);
     void finish(std::uint64_t number, QuotaDecision::Verdict verdict);
 
     QuotaLimiterOptions options;
@@ -136,10 +136,10 @@
 };
 
 /** Who is asked for, out of a question's headers; nothing when it is none. */
-[[nodiscard]] std::optional<Fleet::WorkspaceName> takeQuotaQuestion(Wire::Headers &headers);
+[[nodiscard]] std::optional<Fleet::WorkspaceName> extractQuotaQuery(Wire::Headers &headers);
 
 /** The body of an answer, and what it says; nothing when that can't be read. */
-[[nodiscard]] std::string writeQuotaAnswer(const QuotaAnswer &answer);
-[[nodiscard]] std::optional<QuotaAnswer> readQuotaAnswer(const std::string &body);
+[[nodiscard]] std::string writeQuotaReply(const QuotaReply &answer);
+[[nodiscard]] std::optional<QuotaReply> readQuotaReply(const std::string &body);
 
 }
--- a/Libraries/LibGateway/ShardCall.cpp
+++ b/Libraries/LibGateway/ShardCall.cpp
@@ -58,7 +58,7 @@
     this->tryNext();
 }
 
-Wanted ShardCall::wanted(std::optional<Core::Duration> within) const
+SelectionCriteria ShardCall::wanted(std::optional<Core::Duration> within) const
 {
     return {.service = this->serviceName,
         .tried = this->tried,
@@ -70,7 +70,7 @@
 
 void ShardCall::tryNext()
 {
-    auto *backend = this->pool.firstSound(this->parameters.preferred, this->wanted());
+    auto *backend = this->pool.firstHealthy(this->parameters.preferred, this->wanted());
     if (backend == nullptr) {
         backend = this->pool.choose(this->wanted());
     }
@@ -235,7 +235,7 @@
     if (answered) {
         this->parameters.workLimit->recordAnswered(now);
     } else if (now - attempt.startedAt >= attempt.limit.value()) {
-        this->parameters.workLimit->noteCut(now);
+        this->parameters.workLimit->recordTimeout(now);
     }
 }
 
--- a/Libraries/LibGateway/ShardCall.h
+++ b/Libraries/LibGateway/ShardCall.h
@@ -133,7 +133,7 @@
         std::optional<Core::Duration> limit;
     };
 
-    [[nodiscard]] Wanted wanted(std::optional<Core::Duration> within = std::nullopt) const;
+    [[nodiscard]] SelectionCriteria wanted(std::optional<Core::Duration> within = std::nullopt) const;
     void tryNext();
     void sendTo(Backend &backend);
     void waitForCapacity();
--- a/Libraries/LibGateway/WorkLimit.cpp
+++ b/Libraries/LibGateway/WorkLimit.cpp
@@ -42,7 +42,7 @@
     this->note(0.0, now);
 }
 
-void WorkLimit::noteCut(Core::Instant now)
+void WorkLimit::recordTimeout(Core::Instant now)
 {
     this->note(1.0, now);
 }
--- a/Libraries/LibGateway/WorkLimit.h
+++ b/Libraries/LibGateway/WorkLimit.h
@@ -38,7 +38,7 @@
     /** A send with a limit was answered within it. */
     void recordAnswered(Core::Instant now);
     /** A send ended without an answer once its limit was over. */
-    void noteCut(Core::Instant now);
+    void recordTimeout(Core::Instant now);
 
 private:
     [[nodiscard]] double cutShare(Core::Instant now) const;
--- a/Tests/LibGateway/TestQuotaLedger.cpp
+++ b/Tests/LibGateway/TestQuotaLedger.cpp
@@ -187,7 +187,7 @@
     void advanceRow(Row &row)
     {
         // One that wakes up knows no more than before until a question that it asks then is answered.
-        row.ledger->setMayKeep(this->now - row.leaderKnown < KeepingWithoutLeader, this->now);
+        row.ledger->setMayHoldShares(this->now - row.leaderKnown < KeepingWithoutLeader, this->now);
         if (this->now >= row.cutUntil) {
             // The first answer tells one that was out of touch what it missed.
             row.viewDue = this->now - row.leaderKnown > Core::seconds(1) ? this->now : row.viewDue;
@@ -312,11 +312,11 @@
     ledger.setDeclaration(declarationWith(someQuotas[1]), at(Core::Duration(0)));
     const Fleet::WorkspaceName name("w");
     cr_assert_not(ledger.take(name, at(Core::seconds(10))).isKeeper);
-    ledger.setMayKeep(true, at(Core::seconds(10)));
+    ledger.setMayHoldShares(true, at(Core::seconds(10)));
     const auto early = ledger.take(name, at(Core::milliseconds(11'900)));
     cr_assert(early.isKeeper && !early.granted && early.freeAfter == Core::milliseconds(100), "the one before may still give something out");
     cr_assert(ledger.take(name, at(Core::seconds(12))).granted);
-    ledger.setMayKeep(false, at(Core::seconds(15)));
+    ledger.setMayHoldShares(false, at(Core::seconds(15)));
     cr_assert_not(ledger.take(name, at(Core::seconds(20))).isKeeper);
 }
 
@@ -325,7 +325,7 @@
     QuotaLedger ledger(regions, {.usedShare = 1.0}, gatewayNumber(0).address);
     ledger.setGateways({gatewayNumber(0)}, at(Core::Duration(0)));
     ledger.setDeclaration(declarationWith({.requestsPerSecond = 2.0, .burst = 1.0}), at(Core::Duration(0)));
-    ledger.setMayKeep(true, at(Core::Duration(0)));
+    ledger.setMayHoldShares(true, at(Core::Duration(0)));
     const Fleet::WorkspaceName name("w");
     cr_assert(ledger.take(name, at(Core::seconds(10))).granted);
     const auto first = ledger.take(name, at(Core::seconds(10)));
--- a/Tests/LibGateway/TestQuotas.cpp
+++ b/Tests/LibGateway/TestQuotas.cpp
@@ -126,11 +126,11 @@
 
 Test(QuotaAnswers, areReadAsTheyWereWritten)
 {
-    const Gateway::QuotaAnswer refused{.isKeeper = true, .granted = false, .freeAfter = Core::milliseconds(12), .retryAfter = Core::milliseconds(345)};
-    const auto read = Gateway::readQuotaAnswer(Gateway::writeQuotaAnswer(refused));
+    const Gateway::QuotaReply refused{.isKeeper = true, .granted = false, .freeAfter = Core::milliseconds(12), .retryAfter = Core::milliseconds(345)};
+    const auto read = Gateway::readQuotaReply(Gateway::writeQuotaReply(refused));
     cr_assert(read.has_value() && !read->granted && read->freeAfter == refused.freeAfter && read->retryAfter == refused.retryAfter);
-    cr_assert(Gateway::readQuotaAnswer(Gateway::writeQuotaAnswer({.isKeeper = true, .granted = true}))->granted);
+    cr_assert(Gateway::readQuotaReply(Gateway::writeQuotaReply({.isKeeper = true, .granted = true}))->granted);
     for (const char *bad : {"", "1", "1,2", "1,2,3,4", "1,x,3", "1,-2,3"}) {
-        cr_assert_not(Gateway::readQuotaAnswer(bad).has_value(), "%s", bad);
+        cr_assert_not(Gateway::readQuotaReply(bad).has_value(), "%s", bad);
     }
 }
--- a/Tests/LibGateway/TestRequests.cpp
+++ b/Tests/LibGateway/TestRequests.cpp
@@ -867,7 +867,7 @@
     const auto first = [&](const std::vector<Gateway::BackendName> &names, const std::vector<Gateway::BackendName> &tried = {}) {
         const Core::ServiceName service("service");
         const Fleet::AllowedRegions anywhere;
-        const auto *found = fixture.pool.firstSound(names, {.service = service, .tried = tried, .allowedRegions = anywhere, .within = std::nullopt});
+        const auto *found = fixture.pool.firstHealthy(names, {.service = service, .tried = tried, .allowedRegions = anywhere, .within = std::nullopt});
         return found == nullptr ? std::string() : found->name.value();
     };
     cr_assert_eq(first({two, one}), "two");
--- a/Tests/LibGateway/TestWarmupLimiter.cpp
+++ b/Tests/LibGateway/TestWarmupLimiter.cpp
@@ -92,7 +92,7 @@
             // Some remember more gateways than there are now, which makes their part smaller.
             const int known = count + static_cast<int>(random() % 3);
             ownership.advance({.gateways = known, .mayOwn = random() % 5 != 0}, Core::seconds(1), at(1.0));
-            sum += ownership.coldShareOf(service, serverZone, total, at(1.0 + static_cast<double>(random() % 6)));
+            sum += ownership.warmupShareOf(service, serverZone, total, at(1.0 + static_cast<double>(random() % 6)));
         }
         cr_assert_leq(sum, total, "%d gateways share %d", count, total);
     }
@@ -124,7 +124,7 @@
         registry.merge(gateway(number, "a"), at(0.0));
     }
     const auto shareAt = [](const Gateway::CellOwnership &ownership, double time) {
-        return ownership.coldShareOf(Core::ServiceName("s"), "a", 78, at(time));
+        return ownership.warmupShareOf(Core::ServiceName("s"), "a", 78, at(time));
     };
     Gateway::CellOwnership ownership({}, "a", {{"a", "one"}}, "10.0.0.1:1", at(0.0));
     ownership.updateGateways(registry, at(0.0));
--- a/Tests/LibGateway/TestWorkLimit.cpp
+++ b/Tests/LibGateway/TestWorkLimit.cpp
@@ -35,7 +35,7 @@
             ++answered;
         }
         if (told < Patience) {
-            service <= told ? limit.recordAnswered(now) : limit.noteCut(now);
+            service <= told ? limit.recordAnswered(now) : limit.recordTimeout(now);
         }
     }
     return answered;
@@ -67,7 +67,7 @@
     Gateway::WorkLimit limit;
     for (int number = 0; number < 1000; ++number) {
         const auto now = Core::Instant() + number * Core::milliseconds(10);
-        number % 10 == 0 ? limit.noteCut(now) : limit.recordAnswered(now);
+        number % 10 == 0 ? limit.recordTimeout(now) : limit.recordAnswered(now);
         cr_assert(limit.timeFor(Patience, UntilTarget, Usual, now) == Limited, "send %d", number);
     }
 }
