--- a/Tests/LibGateway/TestQuotaLedger.cpp
+++ b/Tests/LibGateway/TestQuotaLedger.cpp
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What the keepers of a workspace's quota let in together stays within it, and
-// nine tenths of it can be used, whatever becomes of the gateways.
+// The requests that the keepers of a quota admit together stay within it whatever faults
+// the gateways have, and nearly all of the quota can be used.
 
 #include <LibGateway/QuotaLedger.h>
 #include <LibGateway/TokenBucket.h>
@@ -43,7 +43,7 @@
     return declaration;
 }
 
-double mostInWindow(const Quota &quota, const QuotaOptions &options)
+double maximumInWindow(const Quota &quota, const QuotaOptions &options)
 {
     const double seconds = Core::toFractionalMilliseconds(options.window) / 1000.0;
     return (quota.requestsPerSecond * seconds + quota.burst) * (1.0 + options.overshoot) + options.slack;
@@ -56,15 +56,15 @@
 }
 
 /**
- * Gateways as the quotas see them: what each knows of the others and of the declaration comes late by up to a second, and those that were silent for
- * 12 s are given up by the others.
+ * Model of gateways with quota ledgers. Each receives changes of gateways and of the declaration with a delay of up to a second, and a gateway without
+ * heartbeats for 12 s is removed by the others.
  */
 class Model
 {
 public:
-    // As the gateway and the coordinators have them.
-    static constexpr Core::Duration SilenceLimit = Core::seconds(12);
-    static constexpr Core::Duration KeepingWithoutLeader = Core::seconds(7);
+    // The timeouts of the gateway and of the coordinators.
+    static constexpr Core::Duration HeartbeatTimeout = Core::seconds(12);
+    static constexpr Core::Duration LeaderlessHoldTime = Core::seconds(7);
 
     Model(unsigned seed, std::size_t gateways, const Quota &quota) : random(seed), quotas{{at(Core::Duration(0)), quota}}
     {
@@ -75,11 +75,11 @@
 
     struct Row {
         std::unique_ptr<QuotaLedger> ledger;
-        // Does nothing until then; nothing that it was sent is lost.
+        // The process is frozen until then; messages sent to it are not lost.
         Core::Instant frozenUntil;
-        // Reaches no coordinator until then.
-        Core::Instant cutUntil;
-        Core::Instant heard;
+        // The gateway reaches no coordinator until then.
+        Core::Instant disconnectedUntil;
+        Core::Instant lastHeartbeat;
         Core::Instant leaderKnown;
         Core::Instant viewDue;
         bool hasView{false};
@@ -92,13 +92,13 @@
         this->now = this->now + Step;
         std::vector<bool> ready;
         for (auto &row : this->rows) {
-            const bool calls = this->isRunning(row) && this->now >= row.cutUntil;
-            row.heard = calls ? this->now : row.heard;
-            ready.push_back(this->now - row.heard < SilenceLimit);
+            const bool sendsHeartbeat = this->isRunning(row) && this->now >= row.disconnectedUntil;
+            row.lastHeartbeat = sendsHeartbeat ? this->now : row.lastHeartbeat;
+            ready.push_back(this->now - row.lastHeartbeat < HeartbeatTimeout);
         }
-        if (ready != this->truth) {
-            this->truth = ready;
-            this->spreadNews();
+        if (ready != this->actualReady) {
+            this->actualReady = ready;
+            this->scheduleUpdates();
         }
         for (auto &row : this->rows) {
             if (this->isRunning(row)) {
@@ -107,18 +107,18 @@
         }
     }
 
-    /** A caller's request at a gateway; returns whether it was let in. */
-    bool ask(Row &asked)
+    /** Sends a caller's request to a gateway; returns whether it was admitted. */
+    bool requestAt(Row &gateway)
     {
-        if (!this->isRunning(asked) || !asked.held) {
+        if (!this->isRunning(gateway) || !gateway.held) {
             return false;
         }
-        const auto workspace = workspaceWith(asked.held->workspaces->all().front()->quota);
-        auto keepers = asked.ledger->keepers().keepersOf(workspace);
+        const auto workspace = workspaceWith(gateway.held->workspaces->all().front()->quota);
+        auto keepers = gateway.ledger->keepers().keepersOf(workspace);
         std::shuffle(keepers.begin(), keepers.end(), this->random);
         for (const auto *keeper : keepers) {
             auto &row = this->rows[std::stoul(keeper->name.value().substr(1))];
-            if (this->isRunning(row) && row.ledger->take(workspace.name, this->now).granted) {
+            if (this->isRunning(row) && row.ledger->admit(workspace.name, this->now).granted) {
                 this->granted.push_back(this->now);
                 return true;
             }
@@ -126,28 +126,28 @@
         return false;
     }
 
-    bool askAny()
+    bool requestAtRandomGateway()
     {
-        return this->ask(this->rows[this->random() % this->rows.size()]);
+        return this->requestAt(this->rows[this->random() % this->rows.size()]);
     }
 
     void declare(const Quota &quota)
     {
         this->quotas.emplace_back(this->now, quota);
-        this->spreadNews();
+        this->scheduleUpdates();
     }
 
     /**
-     * What may be let in within a window that ends now. A lower quota binds a window after nobody goes by the one before: news come within a second,
-     * and one that gets none keeps nothing soon.
+     * Returns how many requests may be admitted within the window that ends now. A lower quota applies to a window that starts after no gateway uses the
+     * previous quota any more: updates arrive within a second, and a gateway that receives none soon holds no shares.
      */
     [[nodiscard]] double allowed() const
     {
-        static constexpr Core::Duration ApplyTime = KeepingWithoutLeader + Core::seconds(1);
+        static constexpr Core::Duration ApplyTime = LeaderlessHoldTime + Core::seconds(1);
         double most = 0.0;
         for (std::size_t index = 0; index < this->quotas.size(); ++index) {
             const bool isOver = index + 1 < this->quotas.size() && this->quotas[index + 1].first + ApplyTime + this->options.window < this->now;
-            most = isOver ? most : std::max(most, mostInWindow(this->quotas[index].second, this->options));
+            most = isOver ? most : std::max(most, maximumInWindow(this->quotas[index].second, this->options));
         }
         return most;
     }
@@ -176,8 +176,8 @@
         return this->now >= row.frozenUntil;
     }
 
-    // Later news don't hold up earlier ones.
-    void spreadNews()
+    // A later change does not delay the delivery of an earlier one.
+    void scheduleUpdates()
     {
         for (auto &row : this->rows) {
             row.viewDue = row.viewDue > this->now ? row.viewDue : this->now + this->upTo(1000);
@@ -186,26 +186,26 @@
 
     void advanceRow(Row &row)
     {
-        // One that wakes up knows no more than before until a question that it asks then is answered.
-        row.ledger->setMayHoldShares(this->now - row.leaderKnown < KeepingWithoutLeader, this->now);
-        if (this->now >= row.cutUntil) {
-            // The first answer tells one that was out of touch what it missed.
+        // A gateway that wakes up has its former state until the reply to its next watch request arrives.
+        row.ledger->setMayHoldShares(this->now - row.leaderKnown < LeaderlessHoldTime, this->now);
+        if (this->now >= row.disconnectedUntil) {
+            // The first reply after a disconnection contains all changes that the gateway missed.
             row.viewDue = this->now - row.leaderKnown > Core::seconds(1) ? this->now : row.viewDue;
             row.leaderKnown = this->now;
         }
-        const bool hasReceivedUpdate = this->now >= row.cutUntil && this->now >= row.viewDue && (!row.hasView || row.view != this->truth);
+        const bool hasReceivedUpdate = this->now >= row.disconnectedUntil && this->now >= row.viewDue && (!row.hasView || row.view != this->actualReady);
         if (hasReceivedUpdate) {
-            row.view = this->truth;
+            row.view = this->actualReady;
             row.hasView = true;
             std::vector<KeeperGateway> ready;
             for (std::size_t number = 0; number < this->rows.size(); ++number) {
-                if (this->truth[number]) {
+                if (this->actualReady[number]) {
                     ready.push_back(gatewayNumber(number));
                 }
             }
             row.ledger->setGateways(ready, this->now);
         }
-        if (this->now >= row.cutUntil && this->now >= row.viewDue && this->heldQuota(row) != this->quotas.back().second) {
+        if (this->now >= row.disconnectedUntil && this->now >= row.viewDue && this->heldQuota(row) != this->quotas.back().second) {
             row.held = declarationWith(this->quotas.back().second);
             row.ledger->setDeclaration(row.held, this->now);
         }
@@ -216,17 +216,17 @@
         return row.held ? std::optional(row.held->workspaces->all().front()->quota) : std::nullopt;
     }
 
-    std::vector<bool> truth;
+    std::vector<bool> actualReady;
     std::vector<std::pair<Core::Instant, Quota>> quotas;
     std::deque<Core::Instant> granted;
 };
 
-const std::vector<Quota> someQuotas{
+const std::vector<Quota> testQuotas{
     {.requestsPerSecond = 1.0, .burst = 1.0}, {.requestsPerSecond = 16.0, .burst = 16.0}, {.requestsPerSecond = 200.0, .burst = 50.0}};
 
 }
 
-Test(TokenBucket, givesOutItsCapacityAndItsRate)
+Test(TokenBucket, grantsItsCapacityAndItsRate)
 {
     Gateway::TokenBucket bucket({.capacity = 2.0, .perSecond = 4.0}, at(Core::seconds(1)));
     cr_assert_not(bucket.take(at(Core::milliseconds(900))));
@@ -239,36 +239,36 @@
     }
     cr_assert_eq(taken, 2);
     bucket.resize({.capacity = 10.0, .perSecond = 4.0}, at(Core::seconds(60)));
-    cr_assert_not(bucket.take(at(Core::seconds(60))), "a larger one has to fill first");
+    cr_assert_not(bucket.take(at(Core::seconds(60))), "a larger bucket has to fill first");
     cr_assert(bucket.take(at(Core::seconds(61))));
     bucket.resize({.capacity = 1.0, .perSecond = 0.5}, at(Core::seconds(64)));
     cr_assert(bucket.take(at(Core::seconds(64))) && !bucket.take(at(Core::seconds(64))));
 }
 
-// Callers of a workspace that sends many times its usual, at gateways that freeze, are cut off and come back, while its quota is changed.
-Test(QuotaLedger, noWindowExceedsAQuotaWhateverBecomesOfTheGateways)
+// Offered load is many times the quota, at gateways that freeze, are disconnected and come back, while the quota is changed.
+Test(QuotaLedger, noWindowExceedsTheQuotaUnderFaults)
 {
     for (unsigned seed = 1; seed <= 24; ++seed) {
-        const auto &quota = someQuotas[seed % someQuotas.size()];
+        const auto &quota = testQuotas[seed % testQuotas.size()];
         Model model(seed, 6 + seed % 4 * 24, quota);
         const auto offeredInStep = std::max(1.0, 0.08 * quota.requestsPerSecond);
         while (model.now < at(Core::seconds(60))) {
             model.advance();
             if (model.random() % 100 == 0) {
                 auto &row = model.rows[model.random() % model.rows.size()];
-                (model.random() % 2 == 0 ? row.frozenUntil : row.cutUntil) = model.now + model.upTo(25'000);
+                (model.random() % 2 == 0 ? row.frozenUntil : row.disconnectedUntil) = model.now + model.upTo(25'000);
             }
             if (model.random() % 1500 == 0) {
-                model.declare(someQuotas[model.random() % someQuotas.size()]);
+                model.declare(testQuotas[model.random() % testQuotas.size()]);
             }
             if (model.random() % 2000 == 0) {
-                // Half of them at once.
+                // Disconnects half of the gateways at once.
                 for (std::size_t number = 0; number < model.rows.size(); number += 2) {
-                    model.rows[number].cutUntil = model.now + model.upTo(20'000);
+                    model.rows[number].disconnectedUntil = model.now + model.upTo(20'000);
                 }
             }
             for (int request = 0; request < static_cast<int>(offeredInStep); ++request) {
-                (void)model.askAny();
+                (void)model.requestAtRandomGateway();
             }
             const auto sent = static_cast<double>(model.grantedInWindow());
             cr_assert(sent <= model.allowed(),
@@ -281,13 +281,13 @@
     }
 }
 
-// A workspace that sends what it may, at gateways that see a request of it in some seconds each.
-Test(QuotaLedger, aWorkspaceWithinItsQuotaIsLetIn)
+// Offered load is as high as the quota permits, at gateways that each receive a request of the workspace every few seconds.
+Test(QuotaLedger, requestsWithinTheQuotaAreAdmitted)
 {
     for (const std::size_t gateways : {std::size_t(3), std::size_t(10), std::size_t(100), std::size_t(1000)}) {
-        for (const auto &quota : someQuotas) {
+        for (const auto &quota : testQuotas) {
             Model model(7, gateways, quota);
-            int asked = 0;
+            int offered = 0;
             int granted = 0;
             double due = 0.0;
             while (model.now < at(Core::seconds(30))) {
@@ -296,41 +296,41 @@
                     continue;
                 }
                 for (due += 0.01 * quota.requestsPerSecond; due >= 1.0; due -= 1.0) {
-                    ++asked;
-                    granted += model.askAny() ? 1 : 0;
+                    ++offered;
+                    granted += model.requestAtRandomGateway() ? 1 : 0;
                 }
             }
-            cr_assert(granted >= 0.97 * asked, "%d of %d, %zu gateways, %.0f a second", granted, asked, gateways, quota.requestsPerSecond);
+            cr_assert(granted >= 0.97 * offered, "%d of %d, %zu gateways, %.0f a second", granted, offered, gateways, quota.requestsPerSecond);
         }
     }
 }
 
-Test(QuotaLedger, aKeeperThatLosesTheLeaderKeepsNothing)
+Test(QuotaLedger, aKeeperWithoutAKnownLeaderHoldsNoShares)
 {
     QuotaLedger ledger(regions, {.slack = 20.0}, gatewayNumber(0).address);
     ledger.setGateways({gatewayNumber(0)}, at(Core::Duration(0)));
-    ledger.setDeclaration(declarationWith(someQuotas[1]), at(Core::Duration(0)));
+    ledger.setDeclaration(declarationWith(testQuotas[1]), at(Core::Duration(0)));
     const Fleet::WorkspaceName name("w");
-    cr_assert_not(ledger.take(name, at(Core::seconds(10))).isKeeper);
+    cr_assert_not(ledger.admit(name, at(Core::seconds(10))).isKeeper);
     ledger.setMayHoldShares(true, at(Core::seconds(10)));
-    const auto early = ledger.take(name, at(Core::milliseconds(11'900)));
-    cr_assert(early.isKeeper && !early.granted && early.freeAfter == Core::milliseconds(100), "the one before may still give something out");
-    cr_assert(ledger.take(name, at(Core::seconds(12))).granted);
+    const auto early = ledger.admit(name, at(Core::milliseconds(11'900)));
+    cr_assert(early.isKeeper && !early.granted && early.freeAfter == Core::milliseconds(100), "the previous keeper may still grant requests");
+    cr_assert(ledger.admit(name, at(Core::seconds(12))).granted);
     ledger.setMayHoldShares(false, at(Core::seconds(15)));
-    cr_assert_not(ledger.take(name, at(Core::seconds(20))).isKeeper);
+    cr_assert_not(ledger.admit(name, at(Core::seconds(20))).isKeeper);
 }
 
-Test(QuotaLedger, tellsThoseItRefusesToComeBackOneAfterTheOther)
+Test(QuotaLedger, retryTimesOfRefusedCallersAreSpaced)
 {
     QuotaLedger ledger(regions, {.usedShare = 1.0}, gatewayNumber(0).address);
     ledger.setGateways({gatewayNumber(0)}, at(Core::Duration(0)));
     ledger.setDeclaration(declarationWith({.requestsPerSecond = 2.0, .burst = 1.0}), at(Core::Duration(0)));
     ledger.setMayHoldShares(true, at(Core::Duration(0)));
     const Fleet::WorkspaceName name("w");
-    cr_assert(ledger.take(name, at(Core::seconds(10))).granted);
-    const auto first = ledger.take(name, at(Core::seconds(10)));
-    const auto second = ledger.take(name, at(Core::seconds(10)));
+    cr_assert(ledger.admit(name, at(Core::seconds(10))).granted);
+    const auto first = ledger.admit(name, at(Core::seconds(10)));
+    const auto second = ledger.admit(name, at(Core::seconds(10)));
     cr_assert(!first.granted && first.freeAfter == second.freeAfter);
-    cr_assert(second.retryAfter - first.retryAfter >= Core::milliseconds(490), "a token apart");
-    cr_assert(ledger.take(name, at(Core::seconds(10)) + first.retryAfter).granted);
+    cr_assert(second.retryAfter - first.retryAfter >= Core::milliseconds(490), "retry times are one token apart");
+    cr_assert(ledger.admit(name, at(Core::seconds(10)) + first.retryAfter).granted);
 }
--- a/Tests/LibGateway/TestQuotas.cpp
+++ b/Tests/LibGateway/TestQuotas.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Quotas over several gateways, on the wire.
+// Quotas across several gateways, with their messages on the wire.
 
 #include <Support/NodeFixture.h>
 
@@ -18,7 +18,7 @@
 constexpr int Ok = 200;
 constexpr int OverQuota = 429;
 constexpr int NotRun = 503;
-// What "small" may send, as the declaration says.
+// Quota of the workspace "small" in the declaration.
 constexpr double SmallBurst = 12.0;
 constexpr double SmallPerSecond = 4.0;
 
@@ -34,14 +34,14 @@
 class QuotaFixture : public NodeFixture
 {
 public:
-    explicit QuotaFixture(const std::vector<std::string> &zones, Core::Duration patience = Core::milliseconds(2600))
+    explicit QuotaFixture(const std::vector<std::string> &zones, Core::Duration timeout = Core::milliseconds(2600))
     {
         this->coordinator.declare(declaration());
         this->backend = &this->addBackend("one", "server", "here");
         for (const auto &zone : zones) {
-            this->addNode(zone, [patience](Gateway::GatewayOptions &options) {
+            this->addNode(zone, [timeout](Gateway::GatewayOptions &options) {
                 options.quotas.quota.usedShare = 1.0;
-                options.readinessTimeout = patience;
+                options.readinessTimeout = timeout;
             });
         }
     }
@@ -56,11 +56,11 @@
 
 }
 
-Test(Quotas, holdOverAllGatewaysTogether)
+Test(Quotas, applyToAllGatewaysTogether)
 {
     QuotaFixture fixture({"here", "here", "beside", "there", "there"});
     cr_assert(fixture.awaitReady());
-    // Until there is all that may be sent at once.
+    // Waits until the shares have filled up to the whole burst.
     fixture.settle(Core::milliseconds(1500) + Core::seconds(static_cast<std::int64_t>(SmallBurst / SmallPerSecond)));
     const auto began = fixture.timers.now();
     int granted = 0;
@@ -80,35 +80,35 @@
     const double seconds = Core::toFractionalMilliseconds(fixture.timers.now() - began) / 1000.0;
     cr_assert(granted <= SmallBurst + SmallPerSecond * seconds, "%d in %.3f s", granted, seconds);
     cr_assert(granted >= 0.7 * SmallBurst, "%d in %.3f s", granted, seconds);
-    cr_assert_eq(fixture.backend->requests.size(), static_cast<std::size_t>(granted), "nothing that was refused ran");
+    cr_assert_eq(fixture.backend->requests.size(), static_cast<std::size_t>(granted), "refused requests were not executed");
     for (const auto &node : fixture.nodes) {
-        cr_assert_eq(fixture.askAs(*node, "large-secret").status, Ok, "another workspace's");
+        cr_assert_eq(fixture.askAs(*node, "large-secret").status, Ok, "the quota of another workspace does not apply");
     }
 }
 
-Test(Quotas, nobodyIsLetInWhereNobodyKeepsThem)
+Test(Quotas, requestsAreRefusedAsNotRunWithoutAKeeper)
 {
     QuotaFixture fixture({"here"});
     cr_assert(fixture.awaitReady());
-    // It leaves, so that another one may keep what it kept.
+    // A draining gateway gives up its shares, since another one may hold them.
     fixture.nodes.front()->node.beginDrain();
     const auto answer = fixture.askAs(*fixture.nodes.front(), "small-secret");
-    cr_assert_eq(answer.status, NotRun, "it can't be known that the quota is used up");
+    cr_assert_eq(answer.status, NotRun, "without a keeper the quota is not known to be exhausted");
     cr_assert_not_null(Wire::findHeader(answer.headers, "Retry-After"));
     cr_assert_eq(fixture.askAs(*fixture.nodes.front(), "large-secret").status, Ok);
 }
 
-Test(Quotas, aCallerCannotAskAsAGatewayDoes)
+Test(Quotas, quotaQueryHeadersOfCallersAreIgnored)
 {
     QuotaFixture fixture({"here"});
     cr_assert(fixture.awaitReady());
     const auto answer = fixture.ask(*fixture.nodes.front(), "/one/1", {{"Credential", "large-secret"}, {Gateway::RelayHeader::Quota, "small"}});
     cr_assert_eq(answer.status, Ok);
-    cr_assert_null(Wire::findHeader(fixture.backend->requests.back().headers, Gateway::RelayHeader::Quota), "nor is it sent on");
+    cr_assert_null(Wire::findHeader(fixture.backend->requests.back().headers, Gateway::RelayHeader::Quota), "the header is not forwarded");
 }
 
-// The load pattern: all gateways start again while a declared service has no server, so that none of them calls itself ready yet. Callers come all the same.
-Test(Quotas, areKeptByGatewaysThatWaitForServers)
+// Scenario: all gateways restart while a declared service has no server, so that none of them is ready yet, and callers send requests nevertheless.
+Test(Quotas, areKeptByGatewaysThatAreNotReady)
 {
     QuotaFixture fixture({"here", "there"}, Core::seconds(600));
     auto document = declaration();
@@ -124,7 +124,7 @@
     }));
 }
 
-Test(QuotaAnswers, areReadAsTheyWereWritten)
+Test(QuotaReplies, roundTrip)
 {
     const Gateway::QuotaReply refused{.isKeeper = true, .granted = false, .freeAfter = Core::milliseconds(12), .retryAfter = Core::milliseconds(345)};
     const auto read = Gateway::readQuotaReply(Gateway::writeQuotaReply(refused));
--- a/Tests/LibGateway/TestWarmupLimiter.cpp
+++ b/Tests/LibGateway/TestWarmupLimiter.cpp
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The load pattern: servers that are cold after a start bear a few requests a second
-// and fall over beyond, while up to 300 gateways that don't see each other serve a
-// search that asks each of them. Whoever gets which part, all together never exceed
-// what one bears.
+// Scenario: servers that are warming up after a start serve only a few requests per
+// second and fail beyond that, while up to 300 gateways, which do not coordinate, serve
+// searches that send to each of them. However the limit is shared, the gateways together
+// never exceed it.
 
 #include <LibGateway/CellOwnership.h>
 #include <LibGateway/WarmupLimiter.h>
@@ -14,7 +14,7 @@
 #include <criterion/criterion.h>
 #include <random>
 
-using Gateway::shareOfCold;
+using Gateway::computeWarmupShare;
 using Gateway::WarmupLimiter;
 
 namespace
@@ -38,36 +38,36 @@
 
 }
 
-Test(WarmupLimiter, isAnEqualPartWhereThatIsOneAtLeast)
+Test(WarmupLimiter, sharesEquallyWhenEachGatewayGetsAtLeastOne)
 {
-    cr_assert_eq(shareOfCold({.total = 40, .gateways = 9, .inZone = 3, .rank = 2}), 2);
-    cr_assert_eq(shareOfCold({.total = 40, .gateways = 9, .inZone = 3, .rank = std::nullopt}), 2);
-    cr_assert_eq(shareOfCold({.total = 16, .gateways = 9, .inZone = 3, .rank = 2}), 2);
-    cr_assert_eq(shareOfCold({.total = 16, .gateways = 9, .inZone = 3, .rank = std::nullopt}), 0);
-    cr_assert_eq(shareOfCold({.total = 11, .gateways = 65, .inZone = 11, .rank = 4}), 1);
-    cr_assert_eq(shareOfCold({.total = 11, .gateways = 65, .inZone = 11, .rank = 5}), 0);
-    cr_assert_eq(shareOfCold({.total = 0, .gateways = 65, .inZone = 11, .rank = 0}), 0);
+    cr_assert_eq(computeWarmupShare({.total = 40, .gateways = 9, .inZone = 3, .rank = 2}), 2);
+    cr_assert_eq(computeWarmupShare({.total = 40, .gateways = 9, .inZone = 3, .rank = std::nullopt}), 2);
+    cr_assert_eq(computeWarmupShare({.total = 16, .gateways = 9, .inZone = 3, .rank = 2}), 2);
+    cr_assert_eq(computeWarmupShare({.total = 16, .gateways = 9, .inZone = 3, .rank = std::nullopt}), 0);
+    cr_assert_eq(computeWarmupShare({.total = 11, .gateways = 65, .inZone = 11, .rank = 4}), 1);
+    cr_assert_eq(computeWarmupShare({.total = 11, .gateways = 65, .inZone = 11, .rank = 5}), 0);
+    cr_assert_eq(computeWarmupShare({.total = 0, .gateways = 65, .inZone = 11, .rank = 0}), 0);
 }
 
-Test(WarmupLimiter, countsAnySecond)
+Test(WarmupLimiter, limitAppliesToAnySecond)
 {
-    WarmupLimiter allowance({.overshoot = 1.5, .slack = 5.0});
-    cr_assert_eq(allowance.total(4.0), 11);
+    WarmupLimiter limiter({.overshoot = 1.5, .slack = 5.0});
+    cr_assert_eq(limiter.total(4.0), 11);
     const Gateway::BackendName backend("one");
     for (const double time : {0.0, 0.4, 0.9}) {
-        cr_assert(allowance.isWithin(backend, 3, at(time)));
-        allowance.note(backend, at(time));
+        cr_assert(limiter.isWithin(backend, 3, at(time)));
+        limiter.recordSend(backend, at(time));
     }
-    cr_assert_not(allowance.isWithin(backend, 3, at(0.95)));
-    cr_assert_not(allowance.isWithin(backend, 3, at(1.0)), "the first one is a second ago");
-    cr_assert(allowance.isWithin(backend, 3, at(1.1)));
-    allowance.forget(at(1.95));
-    cr_assert(allowance.isWithin(backend, 1, at(1.95)));
-    cr_assert_not(allowance.isWithin(backend, 0, at(1.95)));
+    cr_assert_not(limiter.isWithin(backend, 3, at(0.95)));
+    cr_assert_not(limiter.isWithin(backend, 3, at(1.0)), "the first send is exactly a second old and still counts");
+    cr_assert(limiter.isWithin(backend, 3, at(1.1)));
+    limiter.removeExpired(at(1.95));
+    cr_assert(limiter.isWithin(backend, 1, at(1.95)));
+    cr_assert_not(limiter.isWithin(backend, 0, at(1.95)));
 }
 
-// All gateways know the same ones here; what they may differ in is how many of them the busiest moment lately had.
-Test(WarmupLimiter, neverAddsUpToMoreThanTheTotal)
+// All gateways know the same gateways here. They differ in the gateway count that they use, which is the highest of the recent past.
+Test(WarmupLimiter, sharesNeverExceedTheTotal)
 {
     std::mt19937 random(7);
     const std::vector<std::string> zones{"a", "b", "c"};
@@ -89,7 +89,7 @@
             declaration.routes.back().shards.assign(90, service);
             ownership.applyDeclaration(declaration);
             ownership.updateGateways(registry, at(0.0));
-            // Some remember more gateways than there are now, which makes their part smaller.
+            // Some gateways remember more gateways than there are now, which makes their share smaller.
             const int known = count + static_cast<int>(random() % 3);
             ownership.advance({.gateways = known, .mayOwn = random() % 5 != 0}, Core::seconds(1), at(1.0));
             sum += ownership.warmupShareOf(service, serverZone, total, at(1.0 + static_cast<double>(random() % 6)));
@@ -98,8 +98,9 @@
     }
 }
 
-// One that counts a gateway more than the others may find that an equal part is none, and share by rank beside their equal parts.
-Test(WarmupLimiter, neverAddsUpToMoreThanTheTotalWhereCountsDiffer)
+// Guards against mixed sharing rules: a gateway that counts one gateway more than the others may find an equal share of less than one request, and share by
+// rank while the others take equal shares.
+Test(WarmupLimiter, sharesNeverExceedTheTotalWhenGatewayCountsDiffer)
 {
     for (int total = 1; total <= 60; ++total) {
         for (int gateways = 1; gateways <= 30; ++gateways) {
@@ -109,15 +110,15 @@
                 const bool isInZone = number < inZone;
                 const int known = gateways + (isInZone ? 1 : 0);
                 const auto rank = isInZone ? std::optional(number) : std::nullopt;
-                sum += shareOfCold({.total = total, .gateways = known, .inZone = inZone, .rank = rank});
+                sum += computeWarmupShare({.total = total, .gateways = known, .inZone = inZone, .rank = rank});
             }
             cr_assert_leq(sum, total, "%d gateways share %d", gateways, total);
         }
     }
 }
 
-// A gateway that has not heard yet of a change may still spend its former part, so nobody spends a new one by rank for a while.
-Test(WarmupLimiter, isNotGivenByRankWhileGatewaysChange)
+// A gateway that has not received a change of gateways may still use its former share, so for a while no gateway uses a new share by rank.
+Test(WarmupLimiter, noSharesByRankWhileGatewaysChange)
 {
     Fleet::BackendRegistry registry;
     for (int number = 0; number < 40; ++number) {
@@ -136,5 +137,5 @@
     cr_assert_eq(shareAt(ownership, 7.9), 0);
     cr_assert_geq(settled, 0);
     ownership.advance({.gateways = 41, .mayOwn = false}, Core::seconds(1), at(9.0));
-    cr_assert_eq(shareAt(ownership, 20.0), 0, "one that no coordinator answers has no part");
+    cr_assert_eq(shareAt(ownership, 20.0), 0, "a gateway without a reachable coordinator has no share");
 }
--- a/Tests/LibGateway/TestWorkLimit.cpp
+++ b/Tests/LibGateway/TestWorkLimit.cpp
@@ -3,13 +3,11 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The load pattern: backend servers near their capacity. One that pauses for
-// 250 ms holds up to 14 requests (2 slots, a queue of 12); the searches that they
-// belong to leave at 174 of 200 ms, and after the pause some 120 ms of work on
-// them delays the searches that are still to be served.
-//
-// The other pattern: all backend servers are slower than the target. Late answers
-// are then all that callers can get, and nothing may be cut short.
+// Scenario: backend servers near their capacity. A server that pauses for 250 ms
+// accumulates up to 14 requests (2 slots, a queue of 12). Their searches are answered at
+// 174 of 200 ms, so after the pause about 120 ms of work on them delays the searches that
+// can still be served. Second scenario: all backend servers are slower than the target.
+// Callers can only get late answers then, and no request may be cut short.
 
 #include <LibGateway/WorkLimit.h>
 
@@ -18,24 +16,24 @@
 namespace
 {
 
-constexpr Core::Duration Patience = Core::seconds(3);
-constexpr Core::Duration UntilTarget = Core::milliseconds(174);
-constexpr Core::Duration Usual = Core::milliseconds(20);
-constexpr Core::Duration Limited = UntilTarget + Core::milliseconds(40);
+constexpr Core::Duration CallerTimeout = Core::seconds(3);
+constexpr Core::Duration TimeLeftToTarget = Core::milliseconds(174);
+constexpr Core::Duration TypicalLatency = Core::milliseconds(20);
+constexpr Core::Duration Limited = TimeLeftToTarget + Core::milliseconds(40);
 
-/** Backend servers that all take the same time: sends a request each 10 ms and returns how many of them are answered in all. */
-int answeredOf(int sends, Core::Duration service, Core::Duration usual)
+/** Sends a request every 10 ms to backend servers that all take `service` for it. Returns how many requests were answered. */
+int countAnswered(int sends, Core::Duration service, Core::Duration typicalLatency)
 {
     Gateway::WorkLimit limit;
     int answered = 0;
     for (int number = 0; number < sends; ++number) {
         const auto now = Core::Instant() + number * Core::milliseconds(10);
-        const auto told = limit.timeFor(Patience, UntilTarget, usual, now);
-        if (service <= told) {
+        const auto limitSent = limit.timeFor(CallerTimeout, TimeLeftToTarget, typicalLatency, now);
+        if (service <= limitSent) {
             ++answered;
         }
-        if (told < Patience) {
-            service <= told ? limit.recordAnswered(now) : limit.recordTimeout(now);
+        if (limitSent < CallerTimeout) {
+            service <= limitSent ? limit.recordAnswered(now) : limit.recordTimeout(now);
         }
     }
     return answered;
@@ -43,39 +41,39 @@
 
 }
 
-Test(WorkLimit, tellsABackendServerWhenASearchWillHaveLeft)
+Test(WorkLimit, limitsAPartToTheTargetPlusGrace)
 {
     const Gateway::WorkLimit limit;
-    cr_assert(limit.timeFor(Patience, UntilTarget, Usual, Core::Instant()) == Limited);
+    cr_assert(limit.timeFor(CallerTimeout, TimeLeftToTarget, TypicalLatency, Core::Instant()) == Limited);
 }
 
-Test(WorkLimit, neverTellsMoreThanTheCallerHas)
+Test(WorkLimit, neverExceedsTheTimeLeft)
 {
     const Gateway::WorkLimit limit;
-    cr_assert(limit.timeFor(Core::milliseconds(50), UntilTarget, Usual, Core::Instant()) == Core::milliseconds(50));
+    cr_assert(limit.timeFor(Core::milliseconds(50), TimeLeftToTarget, TypicalLatency, Core::Instant()) == Core::milliseconds(50));
 }
 
-Test(WorkLimit, leavesAloneWhatIsSentForALateAnswer)
+Test(WorkLimit, sendsThatMissTheTargetGetNoLimit)
 {
     const Gateway::WorkLimit limit;
-    cr_assert(limit.timeFor(Patience, Core::milliseconds(10), Usual, Core::Instant()) == Patience);
-    cr_assert(limit.timeFor(Patience, Core::milliseconds(-100), Usual, Core::Instant()) == Patience);
+    cr_assert(limit.timeFor(CallerTimeout, Core::milliseconds(10), TypicalLatency, Core::Instant()) == CallerTimeout);
+    cr_assert(limit.timeFor(CallerTimeout, Core::milliseconds(-100), TypicalLatency, Core::Instant()) == CallerTimeout);
 }
 
-Test(WorkLimit, staysOnWhileFewAreCut)
+Test(WorkLimit, appliesWhileFewSendsTimeOut)
 {
     Gateway::WorkLimit limit;
     for (int number = 0; number < 1000; ++number) {
         const auto now = Core::Instant() + number * Core::milliseconds(10);
         number % 10 == 0 ? limit.recordTimeout(now) : limit.recordAnswered(now);
-        cr_assert(limit.timeFor(Patience, UntilTarget, Usual, now) == Limited, "send %d", number);
+        cr_assert(limit.timeFor(CallerTimeout, TimeLeftToTarget, TypicalLatency, now) == Limited, "send %d", number);
     }
 }
 
-Test(WorkLimit, servesLateWhereEverybodyIsLate)
+Test(WorkLimit, isLiftedWhenAllServersAreSlowerThanTheTarget)
 {
     constexpr int Sends = 2000;
-    cr_assert_geq(answeredOf(Sends, Core::milliseconds(400), Usual), Sends * 9 / 10);
-    // Once the usual latency shows it, nothing is cut at all.
-    cr_assert_eq(answeredOf(Sends, Core::milliseconds(400), Core::milliseconds(400)), Sends);
+    cr_assert_geq(countAnswered(Sends, Core::milliseconds(400), TypicalLatency), Sends * 9 / 10);
+    // Once the typical latency reflects it, no request gets a limit.
+    cr_assert_eq(countAnswered(Sends, Core::milliseconds(400), Core::milliseconds(400)), Sends);
 }
