--- a/Libraries/LibGateway/CellOwnership.cpp
+++ b/Libraries/LibGateway/CellOwnership.cpp
@@ -75,7 +75,7 @@
     }
     std::set<CellKey> own;
     for (const auto shards : sizes) {
-        for (const auto cell : this->map.ownCells(shards, this->options.slack.ownersInZone)) {
+        for (const auto cell : this->map.ownCells(shards, this->options.slack.ownersPerZone)) {
             own.emplace(shards, cell);
         }
     }
@@ -107,7 +107,7 @@
 {
     const auto found = this->shardsInSearch.find(service);
     if (found == this->shardsInSearch.end()) {
-        return this->shares.shareOfOther();
+        return this->shares.shareOfUnshardedService();
     }
     const CellKey cell(found->second, this->map.cellOf(service, found->second, this->ownZone));
     return this->shares.shareOfShard(cell, zones.size(), zones.contains(this->ownZone), now);
--- a/Tests/LibGateway/TestApiKeys.cpp
+++ b/Tests/LibGateway/TestApiKeys.cpp
@@ -139,7 +139,7 @@
     cr_assert(fixture.awaitReady());
     const Wire::Headers forged{{"Tenant", "alpha"},
         {Gateway::RelayHeader::Workspace, "alpha"},
-        {Gateway::RelayHeader::Terms, "100,100,0,0,0,0,0,0,5"},
+        {Gateway::RelayHeader::Parameters, "100,100,0,0,0,0,0,0,5"},
         {Gateway::RelayHeader::Shards, "one"}};
     cr_assert_eq(fixture.ask(node, "/one/1", forged).status, NeedsKey);
     auto withKey = forged;
--- a/Tests/LibGateway/TestPureParts.cpp
+++ b/Tests/LibGateway/TestPureParts.cpp
@@ -73,11 +73,11 @@
 
 Test(RequestSettings, returnFloorGrowsOnASmallerShareOfACore)
 {
-    const Gateway::RequestSettings settings{.returnFloor = Core::milliseconds(16), .returnWork = Core::milliseconds(1)};
-    cr_assert(Gateway::returnFloorFor(settings, 1.0) == settings.returnFloor);
-    cr_assert(Gateway::returnFloorFor(settings, 0.25) == settings.returnFloor);
-    cr_assert(Gateway::returnFloorFor(settings, 0.125) == Core::milliseconds(20));
-    cr_assert(Gateway::returnFloorFor(settings, 0.0) == Core::milliseconds(32), "the floor is bounded for any core share");
+    const Gateway::RequestSettings settings{.minimumReturnReserve = Core::milliseconds(16), .returnProcessorTime = Core::milliseconds(1)};
+    cr_assert(Gateway::minimumReturnReserveFor(settings, 1.0) == settings.minimumReturnReserve);
+    cr_assert(Gateway::minimumReturnReserveFor(settings, 0.25) == settings.minimumReturnReserve);
+    cr_assert(Gateway::minimumReturnReserveFor(settings, 0.125) == Core::milliseconds(20));
+    cr_assert(Gateway::minimumReturnReserveFor(settings, 0.0) == Core::milliseconds(32), "the floor is bounded for any core share");
 }
 
 Test(RetryBudget, staysWithinItsShareInEveryWindow)
@@ -149,7 +149,7 @@
     cr_assert(parameters->minimumRecord == record('\xff', 'a'), "all bytes survive");
     cr_assert(parameters->timeLeftToTarget == Core::milliseconds(42) && parameters->timeLeftToDeadline == Core::milliseconds(99));
     cr_assert(copy.size() == 1, "relay headers are removed from the request");
-    for (const char *missing : {Gateway::RelayHeader::Terms, Gateway::RelayHeader::Shards}) {
+    for (const char *missing : {Gateway::RelayHeader::Parameters, Gateway::RelayHeader::Shards}) {
         auto spoilt = headers;
         std::erase_if(spoilt, [missing](const auto &header) {
             return header.name == missing;
@@ -158,7 +158,7 @@
         cr_assert(spoilt.size() == 1);
     }
     for (const char *text : {"", "1,2,3,0", "1,2,3,4,5,6", "1,2,x,0,0", "-1,2,3,0,0", "1,2,3,0,99999999999"}) {
-        Wire::Headers spoilt{{Gateway::RelayHeader::Terms, text}, {Gateway::RelayHeader::Shards, "a"}};
+        Wire::Headers spoilt{{Gateway::RelayHeader::Parameters, text}, {Gateway::RelayHeader::Shards, "a"}};
         cr_assert_not(Gateway::extractRelayParameters(spoilt).has_value(), "%s", text);
         cr_assert(spoilt.empty());
     }
