--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -120,7 +120,7 @@
     std::function<ReplyKey(const BackendRequest &request)> replyKey;
     std::function<ReplyKey(const Wire::Response &message)> readReplyKey;
     /** Whether a reply without a key may be taken as a refusal of the send that waits; never where there is no hook. */
-    std::function<bool(const Wire::Response &message)> isUnnamedRefusal;
+    std::function<bool(const Wire::Response &message)> isRefusalWithoutKey;
     /** Appends the bytes of a request to a backend server. */
     std::function<void(std::string &bytes, const BackendRequest &request)> writeRequest;
     /** A backend server's reply as the caller gets it. */
--- a/Libraries/LibGateway/RelayPlan.cpp
+++ b/Libraries/LibGateway/RelayPlan.cpp
@@ -303,7 +303,7 @@
     };
     // A gateway of a release without send ids refuses parts, because it cannot read their parameters, and its refusals carry no id. Accepting a refusal of
     // another send would cost one additional send and no answer.
-    relay.isUnnamedRefusal = [](const Wire::Response &message) {
+    relay.isRefusalWithoutKey = [](const Wire::Response &message) {
         return message.status == NotRunStatus;
     };
     relay.readReply = [read = dialect.readReply](Wire::Response message) {
