--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What requests and replies mean, free of the headers in which they say it. An
-// adapter fills the hooks; nothing in this library knows a header's name.
+// Requests and replies independent of the headers that encode them. An adapter
+// provides the encode and decode hooks, so this library contains no header names
+// of the protocols of callers and backend servers.
 
 #pragma once
 
@@ -26,50 +27,53 @@
 using BackendName = Core::StrongValue<struct BackendNameTag, std::string>;
 
 /**
- * What an answer has to say to be the answer to a send. Where it names only the caller's request, several sends of one request have the same key, and
- * their answers can't be told apart on one connection.
+ * Matches a reply with a send: both must have the same key. Where a dialect makes the key from the caller's request alone, all sends of one request have the
+ * same key, and their replies can't be distinguished on one connection.
  */
 using ReplyKey = Core::StrongValue<struct ReplyKeyTag, std::string>;
 
-/** A caller's request, its envelope read. */
+/** A caller's request after its headers were decoded. */
 struct CallerRequest {
     /** Empty when the caller gave none. */
     Core::RequestId id;
     std::string host;
-    /** How long the caller waits; nothing when it did not say. */
+    /** How long the caller waits; empty when it gave no timeout. */
     std::optional<Core::Duration> callerTimeout;
-    /** The caller's secret, taken out of the message; nothing when it sent none. */
+    /** The caller's secret, removed from the message; empty when it sent none. */
     std::optional<Fleet::ApiKey> key;
-    /** Whose request it is, as far as the key showed. Backend servers are told, whatever the caller said of itself. */
+    /**
+     * The workspace that the API key belongs to, or that the requesting gateway named; empty without either. It is sent to backend servers; a workspace
+     * that the caller names is ignored.
+     */
     std::optional<Fleet::WorkspaceName> workspace;
-    /** How long it waited here until its workspace's quota let it in. */
+    /** How long the request waited for the quota decision. */
     Core::Duration waited{0};
     Wire::Request message;
 };
 
-/** Which requests go first; the least is most urgent. Workspaces go before routes. */
+/** Order in which requests that wait for capacity are served. The smallest value is most urgent; the workspace's priority is compared before the route's. */
 struct Urgency {
     int workspace{0};
     int route{0};
     auto operator<=>(const Urgency &) const = default;
 };
 
-/** How busy a backend server said that it is. */
+/** The load that a backend server reported in a reply. */
 struct LoadReport {
     int running{0};
     int waiting{0};
     int slots{0};
-    /** How many times as long as usual work takes on its machine now; nothing where it does not say. */
+    /** Ratio of the current to the usual duration of work on the machine; empty when it was not reported. */
     std::optional<double> slowdown;
 };
 
-/** A backend server's reply, its envelope read. */
+/** A backend server's reply after its headers were decoded. */
 struct BackendReply {
-    /** The backend server's proof that this is its answer; empty when there is none. */
+    /** Proves that the answer is the backend server's; empty when the reply carries no signature. */
     std::string signature;
-    /** The backend server says that it did not run the request and never will. */
+    /** The backend server states that it did not run the request and never will. */
     bool notExecuted{false};
-    /** Another backend server has the address now. */
+    /** The address belongs to another backend server now. */
     bool wrongBackend{false};
     std::optional<LoadReport> load;
     Wire::Response message;
@@ -85,48 +89,50 @@
     const CallerRequest *caller{nullptr};
     BackendName backend;
     Core::Duration timeLeft{0};
-    /** No other send of this gateway has the same. */
+    /** Unique among the sends of this gateway. */
     std::uint64_t number{0};
 };
 
-/** An answer put together from the parts of several backend servers. */
+/** An answer that is merged from the replies of several backend servers. */
 struct MergedAnswer {
     Core::RequestId id;
     std::vector<std::string> signatures;
+    /** Number of shards that the answer lacks. */
     std::size_t missing{0};
     std::string body;
 };
 
-/** How a request ended that has no backend server's answer. */
+/** Why a request ends without a backend server's answer. */
 enum class Refusal {
-    /** Nothing ran and nothing will: come back later. */
+    /** The request was not executed anywhere and will not be; the caller may retry later. */
     NotRun,
-    /** Something may have run, and no answer came in time. */
+    /** The request may have been executed, but no answer arrived in time. */
     TimedOut,
-    /** Something may have run, and its answer was lost. */
+    /** The request may have been executed, but its answer was lost. */
     Failed,
     NoRoute,
-    /** The route needs an API key, and there was none or an unknown one. */
+    /** The route needs an API key, and the request has none or an unknown one. */
     Unauthorized,
-    /** Nothing ran and nothing will: the workspace has sent as much as it may. */
+    /** The request was not executed anywhere and will not be, because the workspace has used up its quota. */
     OverQuota,
 };
 
-/** Reads and writes the envelopes. */
+/** Hooks that decode and encode the headers of one protocol. */
 struct Dialect {
     std::function<CallerRequest(Wire::Request message)> readRequest;
     std::function<BackendReply(Wire::Response message)> readReply;
-    /** The key of a send, and the one that a reply carries; empty when it carries none. */
+    /** Returns the key that the reply to a send must carry. */
     std::function<ReplyKey(const BackendRequest &request)> replyKey;
+    /** Returns the key that a reply carries; empty when it carries none. */
     std::function<ReplyKey(const Wire::Response &message)> readReplyKey;
-    /** Whether a reply without a key may be taken as a refusal of the send that waits; never where there is no hook. */
+    /** Whether a reply without a key counts as a refusal of the send that waits on its connection. Without this hook every such reply is discarded. */
     std::function<bool(const Wire::Response &message)> isUnnamedRefusal;
     /** Appends the bytes of a request to a backend server. */
     std::function<void(std::string &bytes, const BackendRequest &request)> writeRequest;
-    /** A backend server's reply as the caller gets it. */
+    /** Converts a backend server's reply to the response that the caller receives. */
     std::function<Wire::Response(BackendReply reply)> forwardReply;
     std::function<Wire::Response(const MergedAnswer &answer)> writeMerged;
-    /** A partial answer for another gateway, whose body is ours. */
+    /** Encodes a partial answer for another gateway. `body` is independent of the dialect: this library encodes and decodes it. */
     std::function<Wire::Response(const Core::RequestId &id, std::string body)> writePartial;
     std::function<Wire::Response(Refusal refusal, const Core::RequestId &id, Core::Duration retryAfter)> writeRefusal;
 };
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -28,7 +28,7 @@
     outcome("over-quota", counts.overQuota);
     addCounter(page, "crankrudder_hedges_total", "Second sends for late ones.", counts.hedges);
     addCounter(page, "crankrudder_parts_given_total", "Parts of searches that other gateways were asked for.", counts.relayed);
-    addCounter(page, "crankrudder_parts_taken_total", "Parts of searches that other gateways asked for.", counts.takenForOthers);
+    addCounter(page, "crankrudder_parts_taken_total", "Parts of searches that other gateways asked for.", counts.partsReceived);
 }
 
 void addSendMetrics(Metrics::MetricsPage &page, const BackendPool &servers, const BackendPool &gateways)
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What a gateway counts, and how metrics show it; docs/OPERATIONS.md tells what the
-// names mean.
+// Counters of a gateway, and how they appear on its metrics page;
+// docs/OPERATIONS.md describes the metrics.
 
 #pragma once
 
@@ -15,31 +15,39 @@
 namespace Gateway
 {
 
-/** Counts for metrics. */
+/** Counters of requests. */
 struct GatewayCounters {
     std::uint64_t requests{0};
     std::uint64_t answered{0};
     std::uint64_t partial{0};
+    /** Requests that were started and then refused, since no backend server had run them. */
     std::uint64_t refused{0};
     std::uint64_t failed{0};
+    /** Requests whose caller closed the connection before the answer. */
     std::uint64_t callersGone{0};
+    /** Requests that match no route. */
     std::uint64_t unrouted{0};
-    /** Without an API key that a workspace holds. */
+    /** Requests without an API key of a workspace, on routes that need one. */
     std::uint64_t unauthorized{0};
-    /** Beyond their workspace's quota. */
+    /** Requests beyond the quota of their workspace. */
     std::uint64_t overQuota{0};
     std::uint64_t hedges{0};
-    /** Searches of which another gateway was asked for a part, and parts that others asked for. */
+    /** Parts of callers' searches that were to be relayed to other gateways when the search began. */
     std::uint64_t relayed{0};
-    std::uint64_t takenForOthers{0};
+    /** Parts that other gateways requested from this one, including those that it refused. */
+    std::uint64_t partsReceived{0};
 };
 
-/** Requests by outcome, and what they cost. */
+/** Adds the numbers of requests by outcome, of hedges and of relayed parts. */
 void addRequestMetrics(Metrics::MetricsPage &page, const GatewayCounters &counts);
 
-/** Sends and connections to backend servers; of those to other gateways, what can't be told apart. */
+/**
+ * Adds the counters of sends and connections to backend servers. The metrics of discarded answers and of swept rows do not distinguish backend servers from
+ * gateways, so they are sums over both pools.
+ */
 void addSendMetrics(Metrics::MetricsPage &page, const BackendPool &servers, const BackendPool &gateways);
 
+/** Adds the counters of quota decisions, of queries to and from other gateways, and the number of quotas of which this gateway holds a share. */
 void addQuotaMetrics(Metrics::MetricsPage &page, const QuotaLimiter &quotas);
 
 }
--- a/Libraries/LibGateway/GatewayNode.cpp
+++ b/Libraries/LibGateway/GatewayNode.cpp
@@ -17,22 +17,23 @@
 {
 
 static constexpr Core::Duration HousekeepingPeriod = Core::seconds(1);
-// How long a larger number of gateways is remembered: a little over the window of the repeat budget.
+// How long the largest number of known gateways is used after the number has fallen. Slightly longer than the window of the retry budget.
 static constexpr Core::Duration GatewayCountMemory = Core::seconds(15);
-// For how long a gateway that no coordinator answers goes on as an owner: less than coordinators take to give a silent gateway up (12 s), after
-// which another one owns its cells.
-static constexpr Core::Duration OwnershipWithoutNews = Core::seconds(5);
-// For how long after it asked a coordinator that knows a leader a gateway goes on to keep quotas: less than coordinators take to give a silent gateway
-// up (12 s) by as much as a leader that was cut off may not know it yet, after which another one keeps them.
-static constexpr Core::Duration KeepingWithoutLeader = Core::seconds(7);
-// How often the counters are logged: a bound for how long ago the last line before a crash was.
+// How long a gateway without a reachable coordinator continues to own cells. Coordinators remove a silent gateway after 12 s and another gateway then owns
+// its cells, so this must be shorter.
+static constexpr Core::Duration CoordinatorlessOwnershipTime = Core::seconds(5);
+// How long a gateway continues to hold quota shares after its last watch request that a coordinator with a known leader answered. Coordinators remove a
+// silent gateway after 12 s and another gateway then holds its shares, so this must be shorter. The difference covers the time during which a leader that
+// was cut off does not know this yet.
+static constexpr Core::Duration LeaderlessHoldTime = Core::seconds(7);
+// Period of the log line with all counters. After a crash the last such line is at most this old.
 static constexpr Core::Duration CounterLogPeriod = Core::seconds(10);
 
 static BackendPoolOptions relayPoolOptions(const GatewayOptions &options)
 {
     BackendPoolOptions relays = options.pool;
     relays.undeclaredCap = options.relayConnections;
-    // Gateways take as many connections as come.
+    // Gateways do not limit the connections that they accept, so no connection needs a trial.
     relays.trial.reset();
     relays.connectTimeout = options.relay.connectTimeout;
     relays.acceptsAtOnce = true;
@@ -53,7 +54,7 @@
           timers)
     , ownership(this->options.ownership, this->options.pool.zone.value(), this->options.pool.regions, this->options.relayEndpoint.toString(), timers.now())
     , quotas(this->options.quotas, this->options.pool.regions, this->options.pool.zone.value(), this->options.relayEndpoint.toString(), this->relays, timers)
-    , lastInReach(timers.now())
+    , lastReachableAt(timers.now())
     , incarnationName(this->options.name + "/" + Core::randomToken().substr(0, 8))
 {
     this->registry.changed = [this](const Fleet::BackendRecord &record) {
@@ -69,10 +70,10 @@
         return this->routes ? this->routes->declaration().version : Fleet::DeclarationVersion(-1);
     };
     this->watcher.ownAnnouncement = [this] {
-        return this->makePresence();
+        return this->makeOwnAnnouncement();
     };
     this->watcher.declarationReceived = [this](Fleet::DeclarationVersion version, const std::string &content) {
-        this->adopt(version, content);
+        this->applyDeclaration(version, content);
     };
     this->pool.coldShare = [this](const Core::ServiceName &service, const std::string &zone, int total) {
         return this->ownership.coldShareOf(service, zone, total, this->timers.now());
@@ -92,8 +93,8 @@
 
 void GatewayNode::housekeep(Core::Instant now)
 {
-    if (this->watcher.hasReceivedUpdate() && !this->firstNews.has_value()) {
-        this->firstNews = now;
+    if (this->watcher.hasReceivedUpdate() && !this->firstUpdateAt.has_value()) {
+        this->firstUpdateAt = now;
     }
     for (auto *digests : {&this->latencies, &this->relayLatencies}) {
         for (auto &[name, digest] : *digests) {
@@ -104,28 +105,29 @@
     this->gateways.forget(now);
     this->countGateways(now);
     if (this->watcher.reachableCount() > 0) {
-        this->lastInReach = now;
+        this->lastReachableAt = now;
     }
-    const bool mayOwn = !this->draining && now - this->lastInReach < OwnershipWithoutNews;
+    const bool mayOwn = !this->draining && now - this->lastReachableAt < CoordinatorlessOwnershipTime;
     this->ownership.updateGateways(this->gateways, this->timers.now());
     this->updateQuotas();
     this->quotas.sweep();
     this->ownership.advance({.gateways = this->pool.gatewayCount(), .mayOwn = mayOwn}, HousekeepingPeriod, now);
 }
 
-// The largest count of the last while: some that are not heard of just now still send, and those of a herd that starts come one by one.
+// Uses the largest number of ready gateways within GatewayCountMemory, since gateways whose heartbeats are missing at the moment still send requests, and
+// gateways that start together become known one after another.
 void GatewayNode::countGateways(Core::Instant now)
 {
     const int all = this->gateways.readyCount();
     const int inZone = this->gateways.readyCountIn(this->options.pool.zone.value());
-    if (all >= this->countedGateways || now - this->countedAt >= GatewayCountMemory) {
-        this->countedGateways = all;
-        this->countedInZone = inZone;
-        this->countedAt = now;
+    if (all >= this->maximumGateways || now - this->maximumAt >= GatewayCountMemory) {
+        this->maximumGateways = all;
+        this->gatewaysInZone = inZone;
+        this->maximumAt = now;
     }
     const bool known = this->isReady() && all > 0;
     if (known) {
-        this->pool.setGatewayCount(this->countedGateways, this->countedInZone);
+        this->pool.setGatewayCount(this->maximumGateways, this->gatewaysInZone);
     }
 }
 
@@ -143,7 +145,7 @@
             {"unauthorized", this->counts.unauthorized},
             {"over_quota", this->counts.overQuota},
             {"relayed", this->counts.relayed},
-            {"for_others", this->counts.takenForOthers},
+            {"for_others", this->counts.partsReceived},
             {"hedges", this->counts.hedges},
             {"sends", sends.attempts},
             {"sends_other_zone", sends.attemptsToOtherZone},
@@ -163,11 +165,11 @@
 
 // ---- Other gateways
 
-std::optional<Protocol::BackendAnnouncement> GatewayNode::makePresence()
+std::optional<Protocol::BackendAnnouncement> GatewayNode::makeOwnAnnouncement()
 {
-    // Other gateways may ask one that knows what the coordinators know, even while callers should not come yet because servers are missing.
-    const bool knowsAll = this->routes && this->watcher.isConfirmed() && this->watcher.lastLeaderSync().has_value();
-    if (!knowsAll && !this->isReady() && !this->draining) {
+    // A gateway that has the coordinators' current state may serve other gateways, even while missing backend servers keep it from being ready for callers.
+    const bool isCurrent = this->routes && this->watcher.isConfirmed() && this->watcher.lastLeaderSync().has_value();
+    if (!isCurrent && !this->isReady() && !this->draining) {
         return std::nullopt;
     }
     Protocol::BackendAnnouncement ownAnnouncement;
@@ -176,7 +178,7 @@
     ownAnnouncement.zone = this->options.pool.zone.value();
     ownAnnouncement.slots = this->options.relayConnections;
     ownAnnouncement.phase = this->draining ? Protocol::BackendPhase::DRAINING : Protocol::BackendPhase::READY;
-    ownAnnouncement.sequence = ++this->presenceSequence;
+    ownAnnouncement.sequence = ++this->announcementSequence;
     return ownAnnouncement;
 }
 
@@ -195,14 +197,14 @@
     this->watcher.addCoordinators(endpoints);
 }
 
-void GatewayNode::adopt(Fleet::DeclarationVersion version, const std::string &content)
+void GatewayNode::applyDeclaration(Fleet::DeclarationVersion version, const std::string &content)
 {
     if (this->routes && version <= this->routes->declaration().version) {
         return;
     }
     auto declaration = this->options.readDeclaration(content);
     if (!declaration.has_value()) {
-        // Coordinators accept nothing that can't be read, so this is a newer coordinator's declaration that this program does not understand.
+        // Coordinators reject declarations that they can't parse, so this one comes from a newer coordinator and this program does not support it.
         Core::logEvent(Core::LogLevel::Error, "declaration.unreadable", {{"version", version.value()}, {"error", declaration.error().message}});
         return;
     }
@@ -250,9 +252,10 @@
     if (this->draining || !this->routes || !this->watcher.isConfirmed()) {
         return false;
     }
-    // NOTE: Once backend servers were known to be all there, losing some is no reason to send callers to gateways that have lost them too.
-    const bool patienceOver = this->firstNews.has_value() && this->timers.now() - this->firstNews.value() >= this->options.readinessTimeout;
-    return patienceOver || this->knowsEveryService();
+    // NOTE: After the readiness timeout, missing backend servers do not make this gateway unready: other gateways have lost the same backend servers, so
+    // callers would gain nothing by going there.
+    const bool hasTimedOut = this->firstUpdateAt.has_value() && this->timers.now() - this->firstUpdateAt.value() >= this->options.readinessTimeout;
+    return hasTimedOut || this->knowsEveryService();
 }
 
 void GatewayNode::beginDrain()
@@ -284,7 +287,7 @@
     };
 }
 
-// Every answer to another gateway says which of its sends it answers, a refusal too.
+// Adds the name of the send to each answer to another gateway, also to refusals, so that the requesting gateway can match the answer with its send.
 static RoutedRequest::AnswerHook answerToSend(const Wire::ExchangePointer &exchange, std::string sendName)
 {
     return [exchange, sendName = std::move(sendName)](Wire::Response response) {
@@ -325,8 +328,8 @@
 void GatewayNode::updateQuotas()
 {
     this->quotas.updateGateways(this->gateways);
-    const auto leaderKnown = this->watcher.lastLeaderSync();
-    this->quotas.setMayKeep(!this->draining && leaderKnown.has_value() && this->timers.now() - leaderKnown.value() < KeepingWithoutLeader);
+    const auto lastSync = this->watcher.lastLeaderSync();
+    this->quotas.setMayKeep(!this->draining && lastSync.has_value() && this->timers.now() - lastSync.value() < LeaderlessHoldTime);
 }
 
 void GatewayNode::admit(const Fleet::Workspace &workspace, CallerRequest request, const Wire::ExchangePointer &exchange)
@@ -339,29 +342,29 @@
         const auto waiting = this->admissions.extract(id);
         if (!waiting.empty()) {
             ++this->counts.callersGone;
-            this->quotas.cancel(waiting.mapped().question);
+            this->quotas.cancel(waiting.mapped().decisionNumber);
         }
     };
-    const auto question = this->quotas.decide(workspace, requestId, [this, id](const QuotaDecision &decision) {
-        this->takeDecision(id, decision);
+    const auto decisionNumber = this->quotas.decide(workspace, requestId, [this, id](const QuotaDecision &decision) {
+        this->handleDecision(id, decision);
     });
-    // NOTE: The decision may have come already.
+    // NOTE: decide() may have called the hook already, which removes the admission.
     if (const auto waiting = this->admissions.find(id); waiting != this->admissions.end()) {
-        waiting->second.question = question;
+        waiting->second.decisionNumber = decisionNumber;
     }
 }
 
-void GatewayNode::takeDecision(std::uint64_t id, const QuotaDecision &decision)
+void GatewayNode::handleDecision(std::uint64_t id, const QuotaDecision &decision)
 {
-    auto row = this->admissions.extract(id);
-    if (row.empty()) {
+    auto admission = this->admissions.extract(id);
+    if (admission.empty()) {
         return;
     }
-    auto &[request, exchange, question] = row.mapped();
+    auto &[request, exchange, decisionNumber] = admission.mapped();
     request.waited = decision.waited;
     if (decision.verdict != QuotaDecision::Verdict::Granted) {
-        const bool isOver = decision.verdict == QuotaDecision::Verdict::OverQuota;
-        this->counts.overQuota += isOver ? 1 : 0;
+        const bool isOverQuota = decision.verdict == QuotaDecision::Verdict::OverQuota;
+        this->counts.overQuota += isOverQuota ? 1 : 0;
         Core::logEvent(Core::LogLevel::Information,
             "quota.refused",
             {{"request", request.id.value()},
@@ -369,16 +372,16 @@
                 {"asked", decision.asked},
                 {"waited_ms", Core::toMilliseconds(decision.waited)},
                 {"free_in_ms", Core::toMilliseconds(decision.retryAfter)},
-                {"over_quota", isOver ? 1 : 0}});
-        this->refuse(isOver ? Refusal::OverQuota : Refusal::NotRun,
+                {"over_quota", isOverQuota ? 1 : 0}});
+        this->refuse(isOverQuota ? Refusal::OverQuota : Refusal::NotRun,
             request,
             answerTo(exchange),
-            isOver ? "over-quota" : "no-quota-keeper",
-            // Without a keeper: about when one that comes now begins to let requests in.
-            isOver ? decision.retryAfter : this->options.quotas.quota.settleTime);
+            isOverQuota ? "over-quota" : "no-quota-keeper",
+            // When no keeper has replied, the caller should retry when a keeper that takes over now begins to grant requests, which is after about this time.
+            isOverQuota ? decision.retryAfter : this->options.quotas.quota.settleTime);
         return;
     }
-    // The declaration in force may be another one by now.
+    // Another declaration may have become active while the request waited.
     const auto *route = this->routes->match(request.host, request.message.target);
     const auto *workspace = this->routes->declaration().workspaceNamed(request.workspace.value());
     if (route == nullptr || workspace == nullptr) {
@@ -388,20 +391,20 @@
     this->startRequest(*route, workspace, std::move(request), exchange);
 }
 
-void GatewayNode::answerQuotaQuestion(const Fleet::WorkspaceName &workspace, const CallerRequest &question, const RoutedRequest::AnswerHook &answer)
+void GatewayNode::answerQuotaQuery(const Fleet::WorkspaceName &workspace, const CallerRequest &query, const RoutedRequest::AnswerHook &answer)
 {
     this->updateQuotas();
-    const auto said = this->quotas.answer(workspace);
-    if (!said.isKeeper) {
-        this->refuse(Refusal::NotRun, question, answer, "not-quota-keeper");
+    const auto reply = this->quotas.answer(workspace);
+    if (!reply.isKeeper) {
+        this->refuse(Refusal::NotRun, query, answer, "not-quota-keeper");
         return;
     }
-    answer(this->options.dialect.writePartial(question.id, writeQuotaAnswer(said)));
+    answer(this->options.dialect.writePartial(query.id, writeQuotaAnswer(reply)));
 }
 
 // ---- Refusals and targets
 
-// The key has done its work then, and goes no further.
+// Removes the API key from the request once its workspace is found, so that the key is not forwarded.
 const Fleet::Workspace *GatewayNode::authenticate(CallerRequest &request) const
 {
     const auto &workspaces = this->routes->declaration().workspaces;
@@ -426,8 +429,8 @@
             {"declaration", this->routes ? this->routes->declaration().version.value() : -1},
             {"confirmed", this->watcher.isConfirmed() ? 1 : 0}});
     const auto &settings = this->options.requests;
-    const auto usual = this->watcher.isConfirmed() ? settings.retryAfter : settings.comeBackAfterStart;
-    answer(this->options.dialect.writeRefusal(refusal, request.id, retryAfter.value_or(usual)));
+    const auto defaultRetryAfter = this->watcher.isConfirmed() ? settings.retryAfter : settings.comeBackAfterStart;
+    answer(this->options.dialect.writeRefusal(refusal, request.id, retryAfter.value_or(defaultRetryAfter)));
 }
 
 Core::ServiceName GatewayNode::chooseTarget(const Fleet::Route &route)
@@ -435,32 +438,32 @@
     if (route.targets.size() == 1) {
         return route.targets.front().service;
     }
-    // Each request goes to the part that is furthest behind its share, so that shares hold for short times too.
+    // Chooses the target that is furthest behind its share of the requests, so that the shares hold over short periods, too.
     double total = 0.0;
     for (const auto &target : route.targets) {
         total += target.weight;
     }
-    auto &behind = this->credits[route.name];
-    behind.resize(route.targets.size(), 0.0);
-    for (std::size_t index = 0; index < behind.size(); ++index) {
-        behind[index] += route.targets[index].weight / total;
+    auto &targetCredits = this->credits[route.name];
+    targetCredits.resize(route.targets.size(), 0.0);
+    for (std::size_t index = 0; index < targetCredits.size(); ++index) {
+        targetCredits[index] += route.targets[index].weight / total;
     }
-    const auto chosen = std::max_element(behind.begin(), behind.end());
+    const auto chosen = std::max_element(targetCredits.begin(), targetCredits.end());
     *chosen -= 1.0;
-    return route.targets[static_cast<std::size_t>(chosen - behind.begin())].service;
+    return route.targets[static_cast<std::size_t>(chosen - targetCredits.begin())].service;
 }
 
 void GatewayNode::handleRelayed(Wire::Request message, const Wire::ExchangePointer &exchange)
 {
     auto parameters = extractRelayParameters(message.headers);
     const auto answer = answerToSend(exchange, takeSendName(message.headers));
-    const auto quotaQuestion = takeQuotaQuestion(message.headers);
+    const auto quotaQuery = takeQuotaQuestion(message.headers);
     CallerRequest request = this->options.dialect.readRequest(std::move(message));
-    if (quotaQuestion.has_value()) {
-        this->answerQuotaQuestion(quotaQuestion.value(), request, answer);
+    if (quotaQuery.has_value()) {
+        this->answerQuotaQuery(quotaQuery.value(), request, answer);
         return;
     }
-    ++this->counts.takenForOthers;
+    ++this->counts.partsReceived;
     request.workspace = parameters.has_value() ? parameters->workspace : std::nullopt;
     const auto *route = this->routes && this->watcher.isConfirmed() ? this->routes->match(request.host, request.message.target) : nullptr;
     const auto *workspace = this->routes && request.workspace.has_value() ? this->routes->declaration().workspaceNamed(request.workspace.value()) : nullptr;
@@ -470,7 +473,8 @@
               return std::find(route->shards.begin(), route->shards.end(), shard) != route->shards.end();
           });
     if (!holdsShards || !knowsWorkspace) {
-        // The other gateway holds another declaration; it does the work itself then.
+        // The active declarations of the two gateways differ, or the parameters are incomplete. The requesting gateway sends to the backend servers itself
+        // after this refusal.
         this->refuse(Refusal::NotRun, request, answer, "part-refused");
         return;
     }
@@ -522,7 +526,7 @@
 
 void GatewayNode::startRequest(const Fleet::Route &route, const Fleet::Workspace *workspace, CallerRequest request, const Wire::ExchangePointer &exchange)
 {
-    // A caller can't claim to be another gateway.
+    // Removes the headers that only gateways may send, so that callers can't pass for gateways.
     (void)extractRelayParameters(request.message.headers);
     (void)takeSendName(request.message.headers);
     (void)takeQuotaQuestion(request.message.headers);
@@ -542,7 +546,7 @@
 void GatewayNode::run(std::unique_ptr<RoutedRequest> request, const Wire::ExchangePointer &exchange, RoutedRequest::AnswerHook answer)
 {
     const auto id = this->nextRequest++;
-    auto &held = *request;
+    auto &started = *request;
     this->requests[id] = std::move(request);
     exchange->aborted = [this, id] {
         const auto found = this->requests.find(id);
@@ -550,7 +554,7 @@
             found->second->callerGone();
         }
     };
-    held.start(std::move(answer), [this, id](const RequestSummary &summary) {
+    started.start(std::move(answer), [this, id](const RequestSummary &summary) {
         this->count(summary);
         this->log(summary);
         this->requests.erase(id);
--- a/Libraries/LibGateway/GatewayNode.h
+++ b/Libraries/LibGateway/GatewayNode.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A gateway: takes callers' requests, routes them by the declaration in force,
-// and answers out of the backend servers' replies.
+// A gateway without its sockets. It receives requests from callers and parts of
+// searches from other gateways, routes them by the active declaration, sends them
+// to backend servers and other gateways, and answers with the merged replies.
 
 #pragma once
 
@@ -18,27 +19,29 @@
 namespace Gateway
 {
 
-/** Settings of one gateway. */
 struct GatewayOptions {
     std::string name;
     BackendPoolOptions pool;
     RequestSettings requests;
     std::vector<Core::Endpoint> coordinators;
     Dialect dialect;
-    /** Where other gateways bring searches. */
+    /** Address on which this gateway serves parts of searches and quota queries of other gateways. */
     Core::Endpoint relayEndpoint;
     RelayOptions relay;
     CellOwnershipOptions ownership;
     QuotaLimiterOptions quotas;
-    /** Connections to each other gateway, one request at a time on each. */
+    /** Maximum number of connections to each other gateway; a connection carries one request at a time. */
     int relayConnections{8};
-    /** Reads a declaration's text. */
+    /** Parses the text of a declaration. */
     std::function<Core::Result<std::shared_ptr<const Fleet::Declaration>>(const std::string &content)> readDeclaration;
-    /** A gateway that knows no backend server for some services is ready all the same after this long; two heartbeats bring those that are there. */
+    /**
+     * Time from the first update of a coordinator until the gateway is ready although some services have no ready backend server. It covers two heartbeat
+     * periods, so every running backend server is known by then.
+     */
     Core::Duration readinessTimeout{Core::milliseconds(2600)};
 };
 
-/** Everything of a gateway but its sockets. */
+/** Routes requests, limits them by quota, and watches the coordinators. The owner of the object runs the listeners and passes their requests in. */
 class GatewayNode
 {
 public:
@@ -46,55 +49,60 @@
     GatewayNode(const GatewayNode &) = delete;
     GatewayNode &operator=(const GatewayNode &) = delete;
 
-    /** A caller's request. */
+    /** Handles a caller's request. It is answered through `exchange`, immediately or later. */
     void handle(Wire::Request message, const Wire::ExchangePointer &exchange);
 
-    /** A search that another gateway brings. */
+    /** Handles a request of another gateway: a part of a search or a quota query. */
     void handleRelayed(Wire::Request message, const Wire::ExchangePointer &exchange);
 
-    /** Whether callers should come here. */
+    /** Whether the load balancer should send callers to this gateway. */
     [[nodiscard]] bool isReady() const;
 
-    /** From now on isReady() says no; requests are still answered. */
+    /** Makes isReady() return false from now on, and gives up cells and quota shares. Requests are still answered. */
     void beginDrain();
 
     void addCoordinators(const std::vector<Core::Endpoint> &endpoints);
 
+    /** Number of requests that are not answered yet: callers' requests, also those that wait for a quota decision, and parts for other gateways. */
     [[nodiscard]] std::size_t requestsInFlight() const;
     [[nodiscard]] const GatewayCounters &counters() const;
     [[nodiscard]] const BackendPool &backends() const;
+    /** The state as JSON, for operators. */
     [[nodiscard]] std::string dump() const;
 
-    /** Counters and latencies in the Prometheus text format; docs/OPERATIONS.md tells what they mean. */
+    /** Counters and latencies in the Prometheus text format; docs/OPERATIONS.md describes them. */
     [[nodiscard]] std::string metrics() const;
 
-    /** A declaration came into force whose limits may differ. */
+    /** Called when a declaration has become active, with its limits for callers' requests, which may be the same as before. */
     std::function<void(const Fleet::CallerLimits &limits)> limitsChanged;
 
 private:
-    /** A request that waits until its workspace's quota lets it in. */
+    /** A request that waits for the quota decision of its workspace. */
     struct Admission {
         CallerRequest request;
         Wire::ExchangePointer exchange;
-        std::uint64_t question{0};
+        // The pending decision in the quota limiter.
+        std::uint64_t decisionNumber{0};
     };
 
-    void adopt(Fleet::DeclarationVersion version, const std::string &content);
+    void applyDeclaration(Fleet::DeclarationVersion version, const std::string &content);
     void applyEvacuations(const Protocol::Evacuations &evacuations);
-    /** Finds the workspace that holds the request's key, and names it in the request; nullptr when there is none. */
+    /** Returns the workspace that the request's API key belongs to and stores its name in the request; nullptr without a known key. */
     [[nodiscard]] const Fleet::Workspace *authenticate(CallerRequest &request) const;
-    /** Starts the request as soon as the quota of its workspace allows. */
+    /** Requests a quota decision; the request starts or is refused when the decision is made. */
     void admit(const Fleet::Workspace &workspace, CallerRequest request, const Wire::ExchangePointer &exchange);
-    void takeDecision(std::uint64_t id, const QuotaDecision &decision);
-    void answerQuotaQuestion(const Fleet::WorkspaceName &workspace, const CallerRequest &question, const RoutedRequest::AnswerHook &answer);
+    void handleDecision(std::uint64_t id, const QuotaDecision &decision);
+    void answerQuotaQuery(const Fleet::WorkspaceName &workspace, const CallerRequest &query, const RoutedRequest::AnswerHook &answer);
     void updateQuotas();
     void startRequest(const Fleet::Route &route, const Fleet::Workspace *workspace, CallerRequest request, const Wire::ExchangePointer &exchange);
     [[nodiscard]] RequestContext contextFor(const Fleet::Route &route, const Fleet::Workspace *workspace, std::optional<RelayParameters> relayParameters);
     [[nodiscard]] RelayView relayView(const Fleet::Route &route, const Fleet::Workspace *workspace, bool onlyOtherRegions);
     void run(std::unique_ptr<RoutedRequest> request, const Wire::ExchangePointer &exchange, RoutedRequest::AnswerHook answer);
-    [[nodiscard]] std::optional<Protocol::BackendAnnouncement> makePresence();
+    [[nodiscard]] std::optional<Protocol::BackendAnnouncement> makeOwnAnnouncement();
     void updateRelays(const Fleet::BackendRecord &record);
+    /** Removes what has expired and applies the known gateways to ownership, quotas and connection limits. Runs once per HousekeepingPeriod. */
     void housekeep(Core::Instant now);
+    /** Tells the pool how many gateways share the backend servers. */
     void countGateways(Core::Instant now);
     void refuse(Refusal refusal,
         const CallerRequest &request,
@@ -111,33 +119,35 @@
     Core::TimerService &timers;
     BackendPool pool;
     Dialect relayDialect;
-    // Other gateways, as backend servers of a service for each zone.
+    // The other gateways, stored as backend servers; the gateways of each zone form one service.
     BackendPool relays;
     Fleet::BackendRegistry registry;
     Fleet::BackendRegistry gateways;
     Fleet::FleetWatcher watcher;
     CellOwnership ownership;
     QuotaLimiter quotas;
-    // When a coordinator last answered.
-    Core::Instant lastInReach;
-    // The newest declaration that came; in force once it is confirmed that it was current.
+    // When housekeeping last found a reachable coordinator.
+    Core::Instant lastReachableAt;
+    // The newest declaration that was received. Requests are served by it once a coordinator has confirmed that it is current.
     std::shared_ptr<const Fleet::RouteTable> routes;
-    // How far each part of a split route is behind its share.
+    // For each route with several targets: how many requests each target is behind its share.
     std::unordered_map<std::string, std::vector<double>> credits;
-    // Of backend servers' replies and of other gateways' parts, by route.
+    // Latencies of backend servers' replies and of parts served by other gateways, by route.
     std::unordered_map<std::string, Core::LatencyDigest> latencies;
     std::unordered_map<std::string, Core::LatencyDigest> relayLatencies;
     std::unordered_map<std::string, WorkLimit> workLimits;
     std::unordered_map<std::uint64_t, Admission> admissions;
     std::unordered_map<std::uint64_t, std::unique_ptr<RoutedRequest>> requests;
     std::uint64_t nextRequest{1};
-    std::optional<Core::Instant> firstNews;
-    // Names this life of the gateway towards the others.
+    // When housekeeping first found that a coordinator had sent an update.
+    std::optional<Core::Instant> firstUpdateAt;
+    // Identifies this incarnation of the gateway to the other gateways.
     std::string incarnationName;
-    std::int64_t presenceSequence{0};
-    int countedGateways{0};
-    int countedInZone{0};
-    Core::Instant countedAt;
+    std::int64_t announcementSequence{0};
+    // The largest number of ready gateways within GatewayCountMemory, the number in this zone at that time, and the time.
+    int maximumGateways{0};
+    int gatewaysInZone{0};
+    Core::Instant maximumAt;
     bool draining{false};
     GatewayCounters counts;
     Metrics::LatencyHistogram searchLatencies;
--- a/Services/coordinatord/main.cpp
+++ b/Services/coordinatord/main.cpp
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The coordinator: wires the coordinator node to its listeners on one GLib loop.
+// The coordinator program. Connects the coordinator node to its listeners,
+// settings and signals on one GLib loop.
 
 #include <LibControl/PeerTransport.h>
 #include <LibCoordinator/CoordinatorNode.h>
@@ -24,18 +25,19 @@
 namespace
 {
 
-// The declaration is small and changes hundreds of times a day: a snapshot each few dozen entries keeps the log short.
+// The declaration is small and changes hundreds of times a day. A snapshot every few dozen entries keeps the log short.
 constexpr std::int64_t EntriesBetweenSnapshots = 64;
-// A leader that is gone is noticed after one to two seconds, well inside the operators' patience; short periods cost processor time on every coordinator.
+// With these values the loss of a leader is detected after one to two seconds, well within the time that operators accept. Shorter periods would cost
+// processor time on every coordinator.
 constexpr Core::Duration HeartbeatPeriod = Core::milliseconds(200);
 constexpr Core::Duration ElectionTimeout = Core::milliseconds(900);
-// Longer than an election between the farthest regions that we know of: two round trips of 24 ms, syncs and two ticks.
-constexpr Core::Duration FirstElectionTurn = Core::milliseconds(100);
+// Longer than an election between the farthest known regions, which takes two round trips of 24 ms, disk syncs and two ticks.
+constexpr Core::Duration InitialElectionStagger = Core::milliseconds(100);
 constexpr Core::Duration ResponseFlushTime = Core::milliseconds(300);
-// Operators' documents with thousands of routes.
+// Maximum size of an operator's request. Declarations with thousands of routes must fit.
 constexpr std::size_t MaximumDocumentBytes = 8 * 1024 * 1024;
 
-/** What other coordinators call for the replicated log. */
+/** Passes messages of the replicated log from other coordinators to the node. */
 class LogPeerHandler : public Protocol::ControlPeerCobSvIf
 {
 public:
@@ -86,7 +88,7 @@
     log.nameWithFolder = true;
     log.heartbeatPeriod = HeartbeatPeriod;
     log.electionTimeout = ElectionTimeout;
-    log.initialElectionStagger = FirstElectionTurn;
+    log.initialElectionStagger = InitialElectionStagger;
     log.entriesBetweenSnapshots = EntriesBetweenSnapshots;
     log.seed = Core::randomNumber();
     return options;
@@ -99,7 +101,7 @@
         return tl::make_unexpected(settings.error());
     }
     if (!settings->controlListen.has_value() || settings->dataFolder.empty()) {
-        return Core::failure(Core::ErrorKind::InvalidInput, "a coordinator needs a control address and a data folder");
+        return Core::failure(Core::ErrorKind::InvalidInput, "coordinatord requires the settings listen_addrs.control and data_dir");
     }
     Core::Daemon daemon("coordinatord");
     auto &timers = daemon.timers();
@@ -153,7 +155,7 @@
     Core::TimerSubscription flushTimer;
     daemon.onStop([&coordinator, &daemon, &flushTimer] {
         coordinator.drain([&daemon, &flushTimer] {
-            // Every answer is given, but its last bytes may still be on their way out.
+            // All responses were passed to their connections, but the last bytes may not have been sent yet.
             flushTimer = daemon.timers().once(ResponseFlushTime, [&daemon](Core::Instant) {
                 daemon.quit();
             });
@@ -175,7 +177,7 @@
 int main(int argumentCount, char **arguments)
 {
     Core::LogLevel logLevel{Core::LogLevel::Information};
-    Core::Settings settings("coordinatord", "a coordinator of crankrudder on the platform: declaration and registry");
+    Core::Settings settings("coordinatord", "crankrudder coordinator that stores the declaration and the registry of backend servers");
     Core::addLogLevelSetting(settings, logLevel);
     return Core::runProgram(settings, argumentCount, arguments, logLevel, run, Core::LogStream::Output);
 }
--- a/Services/gatewayd/main.cpp
+++ b/Services/gatewayd/main.cpp
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The gateway: wires the gateway node to its listeners on one GLib loop.
+// The gateway program. Connects the gateway node to its listeners, settings and
+// signals on one GLib loop.
 
 #include <LibCore/Daemon.h>
 #include <LibCore/EventPoll.h>
@@ -23,17 +24,21 @@
 namespace
 {
 
-// The balancer asks once a second and takes an instance out after two misses; one more second for its own delay.
-constexpr Core::Duration BalancerNotice = Core::milliseconds(3200);
-// Kept back from the time until the kill, for closing connections.
-constexpr Core::Duration StopReserve = Core::milliseconds(500);
+// The load balancer checks readiness once a second and removes an instance after two failed checks; one more second covers its own delay.
+constexpr Core::Duration BalancerRemovalTime = Core::milliseconds(3200);
+// Part of the grace period before the kill that is reserved for closing connections.
+constexpr Core::Duration ConnectionCloseReserve = Core::milliseconds(500);
 constexpr Core::Duration DrainPollPeriod = Core::milliseconds(20);
 
-/** Stops in steps: unready, then answer what comes until the balancer has noticed, then end once nothing is under way. */
-class PlannedStop
+/**
+ * Stops the process in three steps: reports that the gateway is not ready, answers new requests until the load balancer has removed the gateway, and quits
+ * once nothing is in flight and the callers' connections are closed. Idle connections delay the end by at most one second, and the process quits at the
+ * latest ConnectionCloseReserve before the grace period ends.
+ */
+class GracefulShutdown
 {
 public:
-    PlannedStop(Core::Daemon &daemon, Gateway::GatewayNode &node, Wire::Server &callers, Core::Duration stopTime)
+    GracefulShutdown(Core::Daemon &daemon, Gateway::GatewayNode &node, Wire::Server &callers, Core::Duration stopTime)
         : daemon(daemon), node(node), callers(callers), stopTime(stopTime)
     {
     }
@@ -42,24 +47,24 @@
     {
         this->node.beginDrain();
         this->callers.endConnectionsAfterResponse();
-        this->began = this->daemon.timers().now();
+        this->drainStart = this->daemon.timers().now();
         this->timer = this->daemon.timers().every(DrainPollPeriod, [this](Core::Instant now) {
-            this->look(now);
+            this->checkDrained(now);
         });
     }
 
 private:
-    void look(Core::Instant now)
+    void checkDrained(Core::Instant now)
     {
-        const auto passed = now - this->began;
-        if (passed < BalancerNotice) {
+        const auto elapsed = now - this->drainStart;
+        if (elapsed < BalancerRemovalTime) {
             return;
         }
         this->callers.closeIdleConnections();
-        // Counts searches of other gateways, too.
-        const bool working = this->node.requestsInFlight() > 0 || this->callers.inFlight() > 0;
-        const bool idle = !working && (this->callers.connectionCount() == 0 || passed >= BalancerNotice + Core::seconds(1));
-        if (idle || passed >= this->stopTime - StopReserve) {
+        // The node's count includes the parts of searches that it serves for other gateways.
+        const bool isBusy = this->node.requestsInFlight() > 0 || this->callers.inFlight() > 0;
+        const bool isDrained = !isBusy && (this->callers.connectionCount() == 0 || elapsed >= BalancerRemovalTime + Core::seconds(1));
+        if (isDrained || elapsed >= this->stopTime - ConnectionCloseReserve) {
             this->daemon.quit();
         }
     }
@@ -68,7 +73,7 @@
     Gateway::GatewayNode &node;
     Wire::Server &callers;
     Core::Duration stopTime;
-    Core::Instant began;
+    Core::Instant drainStart;
     Core::TimerSubscription timer;
 };
 
@@ -104,7 +109,7 @@
         return tl::make_unexpected(settings.error());
     }
     if (!settings->callerListen.has_value() || !settings->readinessListen.has_value()) {
-        return Core::failure(Core::ErrorKind::InvalidInput, "a gateway needs addresses for callers and for readiness");
+        return Core::failure(Core::ErrorKind::InvalidInput, "gatewayd requires the settings listen_addrs.frontend and listen_addrs.readiness");
     }
     Core::Daemon daemon("gatewayd");
     auto &timers = daemon.timers();
@@ -129,8 +134,8 @@
                                                     .endpoint = settings->readinessListen.value(),
                                                     .handler =
                                                         [&node](const Wire::Request &request, const auto &exchange) {
-                                                            const bool known = request.target == Platform::Path::Readiness;
-                                                            const int status = !known ? 404 : node.isReady() ? 200 : 503;
+                                                            const bool isReadinessPath = request.target == Platform::Path::Readiness;
+                                                            const int status = !isReadinessPath ? 404 : node.isReady() ? 200 : 503;
                                                             exchange->respond(Wire::Response{.status = status, .headers = {}, .body = {}});
                                                         },
                                                     .limits = {}},
@@ -167,7 +172,7 @@
         },
         *poll.value(),
         timers);
-    PlannedStop stop(daemon, node, *callers.value(), settings->stopTime);
+    GracefulShutdown stop(daemon, node, *callers.value(), settings->stopTime);
     daemon.onStop([&stop] {
         stop.begin();
     });
@@ -185,7 +190,7 @@
 int main(int argumentCount, char **arguments)
 {
     Core::LogLevel logLevel{Core::LogLevel::Information};
-    Core::Settings settings("gatewayd", "a gateway of crankrudder on the platform: answers callers out of many shards");
+    Core::Settings settings("gatewayd", "crankrudder gateway that routes callers' requests to backend servers and merges the answers of many shards");
     Core::addLogLevelSetting(settings, logLevel);
     return Core::runProgram(settings, argumentCount, arguments, logLevel, run, Core::LogStream::Output);
 }
--- a/Tests/LibGateway/TestEligibility.cpp
+++ b/Tests/LibGateway/TestEligibility.cpp
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Where a request may be served: in the regions that its route allows, in no
-// evacuated zone, and in no earlier life of a backend server.
+// Which backend servers may serve a request: only those in regions that the route
+// allows, in zones that are not evacuated, and in their current incarnation.
 
 #include <LibRpc/Serialization.h>
 #include <Support/GatewayFixture.h>
@@ -19,7 +19,7 @@
 namespace
 {
 
-void silent(const Wire::Request &, const Wire::ExchangePointer &)
+void neverAnswering(const Wire::Request &, const Wire::ExchangePointer &)
 {
 }
 
@@ -30,11 +30,11 @@
     };
 }
 
-/** A service with a backend server here and one in another region. */
-class PlacesFixture : public GatewayFixture
+/** A fixture with one idempotent route to the service `s`, whose backend servers a test places in zones. */
+class EligibilityFixture : public GatewayFixture
 {
 public:
-    PlacesFixture()
+    EligibilityFixture()
     {
         this->route().idempotent = true;
         this->route().maximumAttempts = 2;
@@ -42,7 +42,7 @@
         this->route().targets = {{.service = Core::ServiceName("s"), .weight = 1.0}};
     }
 
-    [[nodiscard]] static AllowedRegions only(const char *region)
+    [[nodiscard]] static AllowedRegions onlyRegion(const char *region)
     {
         return AllowedRegions::only({region});
     }
@@ -63,78 +63,78 @@
 
 }
 
-Test(Eligibility, aRouteIsServedInItsRegionsOnly)
+Test(Eligibility, aRouteIsServedOnlyInItsAllowedRegions)
 {
-    PlacesFixture fixture;
-    fixture.route().allowedRegions = PlacesFixture::only("away");
-    const auto &near = fixture.add("s", "near", answering("near"));
-    const auto &far = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
+    EligibilityFixture fixture;
+    fixture.route().allowedRegions = EligibilityFixture::onlyRegion("away");
+    const auto &sameRegionBackend = fixture.add("s", "near", answering("near"));
+    const auto &otherRegionBackend = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
     cr_assert_eq(fixture.ask("r1").status, 200);
-    cr_assert(near.requests.empty() && far.requests.size() == 1);
+    cr_assert(sameRegionBackend.requests.empty() && otherRegionBackend.requests.size() == 1);
 }
 
-Test(Eligibility, isRefusedAtOnceWhereNoAllowedRegionCanServe)
+Test(Eligibility, aRequestIsRefusedImmediatelyWhenNoAllowedRegionHasABackend)
 {
-    PlacesFixture fixture;
-    fixture.route().allowedRegions = PlacesFixture::only("far away");
-    const auto &near = fixture.add("s", "near", answering("near"));
-    const auto &unplaced = fixture.addTo(fixture.pool, "s", "unplaced", answering("unplaced"), "a zone that the settings don't name");
+    EligibilityFixture fixture;
+    fixture.route().allowedRegions = EligibilityFixture::onlyRegion("far away");
+    const auto &sameRegionBackend = fixture.add("s", "near", answering("near"));
+    const auto &unknownZoneBackend = fixture.addTo(fixture.pool, "s", "unplaced", answering("unplaced"), "a zone that the settings don't name");
     const auto response = fixture.ask("r1");
     cr_assert_eq(response.status, 503);
     cr_assert_not_null(Wire::findHeader(response.headers, "Retry-After"));
-    cr_assert(near.requests.empty() && unplaced.requests.empty());
-    cr_assert(fixture.summary->took < Core::milliseconds(50), "it is known at once");
+    cr_assert(sameRegionBackend.requests.empty() && unknownZoneBackend.requests.empty());
+    cr_assert(fixture.summary->took < Core::milliseconds(50), "the refusal took as long as a timeout");
 }
 
-Test(Eligibility, hedgesAndRepeatsStayInTheAllowedRegions)
+Test(Eligibility, hedgesAndRetriesStayInTheAllowedRegions)
 {
-    PlacesFixture fixture;
-    fixture.route().allowedRegions = PlacesFixture::only("home");
+    EligibilityFixture fixture;
+    fixture.route().allowedRegions = EligibilityFixture::onlyRegion("home");
     fixture.route().timeout = Core::milliseconds(300);
-    const auto &one = fixture.add("s", "one", silent);
-    const auto &far = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
+    const auto &silentBackend = fixture.add("s", "one", neverAnswering);
+    const auto &otherRegionBackend = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
     cr_assert_eq(fixture.ask("r1").status, 504);
-    cr_assert(one.requests.size() == 1 && far.requests.empty());
+    cr_assert(silentBackend.requests.size() == 1 && otherRegionBackend.requests.empty());
 }
 
-// A hedge that goes out after a newer declaration has come into force keeps to that one as well.
-Test(Eligibility, aRequestUnderWayKeepsToWhatANewerDeclarationAllows)
+// Guards against a hedge to a region that a newer declaration has excluded while the request was in flight.
+Test(Eligibility, aRequestInFlightObeysTheRegionsOfANewerDeclaration)
 {
-    PlacesFixture fixture;
+    EligibilityFixture fixture;
     fixture.route().host = "h";
     fixture.route().pathPrefix = "/x/";
     fixture.route().timeout = Core::milliseconds(300);
-    const auto &one = fixture.add("s", "one", silent);
-    const auto &far = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
+    const auto &silentBackend = fixture.add("s", "one", neverAnswering);
+    const auto &otherRegionBackend = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
     fixture.begin("r1");
     auto newer = std::make_shared<Fleet::Declaration>(*fixture.declaration);
-    newer->routes.front().allowedRegions = PlacesFixture::only("home");
+    newer->routes.front().allowedRegions = EligibilityFixture::onlyRegion("home");
     fixture.request->restrictTo(Fleet::RouteTable(newer));
     cr_assert(fixture.runUntil([&] {
         return fixture.answer.has_value();
     }));
-    cr_assert(one.requests.size() == 1 && far.requests.empty());
+    cr_assert(silentBackend.requests.size() == 1 && otherRegionBackend.requests.empty());
 }
 
-Test(Eligibility, anEvacuatedZoneGetsNothingAndServesAgainAfterwards)
+Test(Eligibility, anEvacuatedZoneReceivesNoRequestsUntilTheEvacuationEnds)
 {
-    PlacesFixture fixture;
-    const auto &near = fixture.add("s", "near", answering("near"));
-    const auto &far = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
+    EligibilityFixture fixture;
+    const auto &sameRegionBackend = fixture.add("s", "near", answering("near"));
+    const auto &otherRegionBackend = fixture.addTo(fixture.pool, "s", "far", answering("far"), "there");
     fixture.pool.setEvacuatedZones({"here"});
     cr_assert_eq(fixture.ask("r1").status, 200);
-    cr_assert(near.requests.empty() && far.requests.size() == 1);
+    cr_assert(sameRegionBackend.requests.empty() && otherRegionBackend.requests.size() == 1);
     fixture.pool.setEvacuatedZones({"here", "there"});
     cr_assert_eq(fixture.ask("r2").status, 503);
     fixture.pool.setEvacuatedZones({});
     cr_assert_eq(fixture.ask("r3").status, 200);
-    cr_assert_eq(near.requests.size(), 1);
+    cr_assert_eq(sameRegionBackend.requests.size(), 1);
 }
 
-Test(Eligibility, aSendThatIsNotAllowedNeverLeaves)
+Test(Eligibility, aSendIsNotSentWhenTheZoneWasEvacuatedAfterTheChoice)
 {
-    PlacesFixture fixture;
-    const auto &near = fixture.add("s", "near", answering("near"));
+    EligibilityFixture fixture;
+    const auto &sameRegionBackend = fixture.add("s", "near", answering("near"));
     const Core::ServiceName service("s");
     const AllowedRegions anywhere;
     auto *chosen = fixture.pool.choose({.service = service, .tried = {}, .allowedRegions = anywhere, .within = std::nullopt});
@@ -148,14 +148,14 @@
     cr_assert(fixture.runUntil([&end] {
         return end.has_value();
     }));
-    cr_assert(end == Gateway::AttemptEnd::NotSent && near.requests.empty());
+    cr_assert(end == Gateway::AttemptEnd::NotSent && sameRegionBackend.requests.empty());
 }
 
-Test(Eligibility, oneThatStartedAgainUnderItsNameBeginsAnew)
+Test(Eligibility, aBackendRestartedUnderTheSameNameIsUsedDespiteThePreviousDeparture)
 {
-    PlacesFixture fixture;
-    auto &former = fixture.add("s", "unused", silent);
-    auto &later = fixture.add("s", "unused too", answering("later"));
+    EligibilityFixture fixture;
+    auto &firstIncarnation = fixture.add("s", "unused", neverAnswering);
+    auto &secondIncarnation = fixture.add("s", "unused too", answering("later"));
     fixture.pool.setEvacuatedZones({"here"});
     Fleet::BackendRecord gone;
     for (const char *unused : {"unused", "unused too"}) {
@@ -164,29 +164,29 @@
         fixture.pool.update(gone);
     }
     fixture.pool.setEvacuatedZones({});
-    fixture.pool.update(recordOf(former, 1000));
+    fixture.pool.update(recordOf(firstIncarnation, 1000));
     fixture.begin("r1");
     cr_assert(fixture.runUntil([&] {
-        return former.requests.size() == 1;
+        return firstIncarnation.requests.size() == 1;
     }));
-    // Its first life leaves, and the second one comes at another address while a request waits for the first.
-    auto leaving = recordOf(former, 1000);
-    leaving.announcement.phase = Protocol::BackendPhase::GONE;
-    fixture.pool.update(leaving);
-    fixture.pool.update(recordOf(later, 2000));
+    // The first incarnation departs, and the second one is announced at another address while a request waits for the first.
+    auto departure = recordOf(firstIncarnation, 1000);
+    departure.announcement.phase = Protocol::BackendPhase::GONE;
+    fixture.pool.update(departure);
+    fixture.pool.update(recordOf(secondIncarnation, 2000));
     cr_assert(fixture.pool.hasReady(Core::ServiceName("s")));
     fixture.begin("r2");
     cr_assert(fixture.runUntil([&] {
         return fixture.answer.has_value();
     }));
     cr_assert_eq(fixture.answer->status, 200);
-    cr_assert_eq(later.requests.size(), 1);
-    // What comes late of the first life changes nothing.
-    fixture.pool.update(leaving);
+    cr_assert_eq(secondIncarnation.requests.size(), 1);
+    // A late announcement of the first incarnation's departure must not affect the second one.
+    fixture.pool.update(departure);
     cr_assert_eq(fixture.ask("r3").status, 200);
 }
 
-Test(Eligibility, termsOfAPartCarryTheAllowedRegions)
+Test(Eligibility, parametersOfAPartCarryTheAllowedRegions)
 {
     Wire::Headers headers;
     Gateway::RelayParameters parameters{.shards = {Core::ServiceName("a")}};
@@ -201,7 +201,7 @@
     cr_assert(read.has_value() && read->allowedRegions.isAnywhere());
 }
 
-Test(Eligibility, aGatewayKeepsToWhatTheAskingOneAllows)
+Test(Eligibility, aServingGatewayStaysInTheRegionsThatTheRequestingGatewayAllows)
 {
     GatewayFixture fixture;
     fixture.route().idempotent = true;
@@ -214,14 +214,15 @@
         .timeLeftToTarget = Core::milliseconds(100), .timeLeftToDeadline = Core::milliseconds(400), .maximumMissing = 1, .shards = {}};
     fixture.relayParameters->allowedRegions = AllowedRegions::only({"home"});
     fixture.add("a", "a1", answering("a"));
-    const auto &far = fixture.addTo(fixture.pool, "b", "b1", answering("b"), "there");
+    const auto &otherRegionBackend = fixture.addTo(fixture.pool, "b", "b1", answering("b"), "there");
     const auto part = Rpc::deserialize<Protocol::PartialAnswer>(fixture.ask("r1").body);
     cr_assert(part.has_value() && part->signatures.size() == 1 && part->missing.size() == 1);
-    cr_assert(far.requests.empty());
+    cr_assert(otherRegionBackend.requests.empty());
 }
 
-// Random deployments and declarations: no plan brings a shard to a zone out of the allowed regions, whatever is evacuated.
-Test(Eligibility, noPlanLeavesTheAllowedRegions)
+// Plans searches over random deployments, allowed regions and an evacuated zone. No part and no direct send may go to a zone outside the allowed regions or to
+// the evacuated zone.
+Test(Eligibility, noRelayPlanLeavesTheAllowedRegions)
 {
     std::mt19937 random(11);
     const std::vector<std::string> zones{"here", "beside", "there", "yonder"};
@@ -262,17 +263,17 @@
             .allowedRegions = AllowedRegions::only(allowed)};
         const auto plan = Gateway::planRelay(shards, view, {});
         for (const auto &part : plan.parts) {
-            cr_assert(allowed.contains(view.regions.at(part.zone)), "a part goes to %s", part.zone.c_str());
+            cr_assert(allowed.contains(view.regions.at(part.zone)), "a part is planned for zone %s outside the allowed regions", part.zone.c_str());
             cr_assert_neq(part.zone, evacuated);
         }
         const std::vector<Gateway::BackendName> none;
         for (const auto &shard : plan.direct) {
             const auto *chosen = fixture.pool.choose({.service = shard, .tried = none, .allowedRegions = view.allowedRegions, .within = std::nullopt});
-            const auto &places = zonesOf[shard.value()];
-            const bool canBeAsked = std::any_of(places.begin(), places.end(), [&](const std::string &zone) {
+            const auto &zonesOfShard = zonesOf[shard.value()];
+            const bool hasEligibleBackend = std::any_of(zonesOfShard.begin(), zonesOfShard.end(), [&](const std::string &zone) {
                 return zone != evacuated && allowed.contains(view.regions.at(zone));
             });
-            cr_assert_eq(chosen != nullptr, canBeAsked);
+            cr_assert_eq(chosen != nullptr, hasEligibleBackend);
             cr_assert(chosen == nullptr || (allowed.contains(chosen->region) && chosen->zone != evacuated));
         }
     }
