--- a/Libraries/LibGateway/BackendPool.cpp
+++ b/Libraries/LibGateway/BackendPool.cpp
@@ -471,7 +471,7 @@
 {
     // Every answer says whose it is. One that does not is nobody's, and what names a request is no answer to one without a name.
     const auto answered = this->dialect.readReplyKey(response);
-    const bool unnamedRefusal = answered.value().empty() && this->dialect.isUnnamedRefusal && this->dialect.isUnnamedRefusal(response);
+    const bool unnamedRefusal = answered.value().empty() && this->dialect.isRefusalWithoutKey && this->dialect.isRefusalWithoutKey(response);
     if (answered == expected || unnamedRefusal) {
         return true;
     }
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -126,7 +126,7 @@
     /** Returns the key that a reply carries; empty when it carries none. */
     std::function<ReplyKey(const Wire::Response &message)> readReplyKey;
     /** Whether a reply without a key counts as a refusal of the send that waits on its connection. Without this hook every such reply is discarded. */
-    std::function<bool(const Wire::Response &message)> isUnnamedRefusal;
+    std::function<bool(const Wire::Response &message)> isRefusalWithoutKey;
     /** Appends the bytes of a request to a backend server. */
     std::function<void(std::string &bytes, const BackendRequest &request)> writeRequest;
     /** Converts a backend server's reply to the response that the caller receives. */
--- a/Libraries/LibGateway/RelayPlan.cpp
+++ b/Libraries/LibGateway/RelayPlan.cpp
@@ -302,7 +302,7 @@
     };
     // A gateway of a release before sends were named refuses parts, since it can't read their parameters. A refusal that belonged to another send would
     // cost one send more and no answer.
-    relay.isUnnamedRefusal = [](const Wire::Response &message) {
+    relay.isRefusalWithoutKey = [](const Wire::Response &message) {
         return message.status == NotRunStatus;
     };
     relay.readReply = [read = dialect.readReply](Wire::Response message) {
