--- a/Services/coordinatord/main.cpp
+++ b/Services/coordinatord/main.cpp
@@ -85,7 +85,7 @@
     log.identity.peerAddress = Platform::internalEndpoint(settings, Platform::InternalPort::Log).toString();
     log.identity.entryAddress = options.watchEndpoint.toString();
     log.identity.operatorAddress = settings.controlListen->toString();
-    log.nameWithFolder = true;
+    log.appendStorageIdToName = true;
     log.heartbeatPeriod = HeartbeatPeriod;
     log.electionTimeout = ElectionTimeout;
     log.initialElectionStagger = InitialElectionStagger;
