--- a/Services/coordinatord/main.cpp
+++ b/Services/coordinatord/main.cpp
@@ -64,7 +64,7 @@
     options.membership.targetVoters = 2 * static_cast<std::size_t>(settings.toleratedFailures) + 1;
     options.regions = settings.regions;
     options.heartbeats = Fleet::HeartbeatTimes::of(settings.heartbeatPeriod);
-    options.examine = [regions = settings.regions](const std::string &content) -> Core::Result<Fleet::DeclarationVersion> {
+    options.validateDeclaration = [regions = settings.regions](const std::string &content) -> Core::Result<Fleet::DeclarationVersion> {
         const auto declaration = Platform::readConfiguration(content);
         if (!declaration.has_value()) {
             return tl::make_unexpected(declaration.error());
--- a/Services/gatewayd/main.cpp
+++ b/Services/gatewayd/main.cpp
@@ -98,7 +98,7 @@
     options.readDeclaration = [reader = std::make_shared<Platform::ConfigurationReader>()](const std::string &content) {
         return reader->read(content);
     };
-    options.readinessTimeout = Fleet::HeartbeatTimes::of(settings.heartbeatPeriod).allHeard;
+    options.readinessTimeout = Fleet::HeartbeatTimes::of(settings.heartbeatPeriod).registryCompleteAfter;
     return options;
 }
 
