--- a/Libraries/LibGateway/GatewayNode.cpp
+++ b/Libraries/LibGateway/GatewayNode.cpp
@@ -429,7 +429,7 @@
             {"declaration", this->routes ? this->routes->declaration().version.value() : -1},
             {"confirmed", this->watcher.isConfirmed() ? 1 : 0}});
     const auto &settings = this->options.requests;
-    const auto defaultRetryAfter = this->watcher.isConfirmed() ? settings.retryAfter : settings.comeBackAfterStart;
+    const auto defaultRetryAfter = this->watcher.isConfirmed() ? settings.retryAfter : settings.retryAfterStartup;
     answer(this->options.dialect.writeRefusal(refusal, request.id, retryAfter.value_or(defaultRetryAfter)));
 }
 
@@ -456,7 +456,7 @@
 void GatewayNode::handleRelayed(Wire::Request message, const Wire::ExchangePointer &exchange)
 {
     auto parameters = extractRelayParameters(message.headers);
-    const auto answer = answerToSend(exchange, takeSendName(message.headers));
+    const auto answer = answerToSend(exchange, extractSendId(message.headers));
     const auto quotaQuery = takeQuotaQuestion(message.headers);
     CallerRequest request = this->options.dialect.readRequest(std::move(message));
     if (quotaQuery.has_value()) {
@@ -528,7 +528,7 @@
 {
     // Removes the headers that only gateways may send, so that callers can't pass for gateways.
     (void)extractRelayParameters(request.message.headers);
-    (void)takeSendName(request.message.headers);
+    (void)extractSendId(request.message.headers);
     (void)takeQuotaQuestion(request.message.headers);
     const auto context = this->contextFor(route, workspace, std::nullopt);
     if (!route.isFanOut()) {
--- a/Services/gatewayd/main.cpp
+++ b/Services/gatewayd/main.cpp
@@ -91,7 +91,7 @@
     options.pool.cold = {.overshoot = settings.warmupOvershoot, .slack = settings.warmupSlack};
     options.quotas.quota = {.overshoot = settings.quotaOvershoot, .slack = settings.quotaSlack, .window = settings.quotaWindow};
     options.pool.choice.seed = Core::randomNumber();
-    options.requests.returnFloor = Gateway::returnFloorFor(options.requests, settings.processorShare);
+    options.requests.minimumReturnReserve = Gateway::minimumReturnReserveFor(options.requests, settings.processorShare);
     options.coordinators = Platform::watchEndpoints(settings);
     options.relayEndpoint = Platform::internalEndpoint(settings, Platform::InternalPort::Relay);
     options.dialect = Platform::makeDialect();
