--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -43,8 +43,10 @@
         "crankrudder_answers_passed_over_total",
         "Answers of backend servers and gateways that belong to another send than the one that waited.",
         sends.discarded + gateways.counters().discarded);
-    addCounter(
-        page, "crankrudder_connections_kept_apart_total", "Sends that did not use a kept connection because it had carried the same request.", sends.keptApart);
+    addCounter(page,
+        "crankrudder_connections_kept_apart_total",
+        "Sends that did not use a kept connection because it had carried the same request.",
+        sends.reuseAvoided);
     addCounter(page,
         "crankrudder_connections_turned_away_total",
         "New connections that backend servers reset at once, having as many as they take.",
@@ -63,7 +65,7 @@
     addCounter(page, "crankrudder_quota_no_keeper_total", "Requests refused because no keeper of their workspace's quota answered.", counts.noKeeper);
     addCounter(page, "crankrudder_quota_asked_total", "Questions about quotas to other gateways.", counts.asked);
     addCounter(page, "crankrudder_quota_answered_total", "Questions about quotas from other gateways.", counts.answered);
-    page.gauge("crankrudder_quota_kept", "Workspaces that this gateway keeps a part of the quota of.", static_cast<double>(quotas.keptCount()));
+    page.gauge("crankrudder_quota_kept", "Workspaces that this gateway keeps a part of the quota of.", static_cast<double>(quotas.heldShareCount()));
 }
 
 }
--- a/Libraries/LibGateway/GatewayNode.cpp
+++ b/Libraries/LibGateway/GatewayNode.cpp
@@ -36,7 +36,7 @@
     // Gateways do not limit the connections that they accept, so no connection needs a trial.
     relays.trial.reset();
     relays.connectTimeout = options.relay.connectTimeout;
-    relays.acceptsAtOnce = true;
+    relays.acceptsPromptly = true;
     relays.acknowledgementTimeout = options.relay.acknowledgementTimeout;
     relays.failuresUntilAvoided = 1;
     return relays;
@@ -75,8 +75,8 @@
     this->watcher.declarationReceived = [this](Fleet::DeclarationVersion version, const std::string &content) {
         this->applyDeclaration(version, content);
     };
-    this->pool.coldShare = [this](const Core::ServiceName &service, const std::string &zone, int total) {
-        return this->ownership.coldShareOf(service, zone, total, this->timers.now());
+    this->pool.warmupShare = [this](const Core::ServiceName &service, const std::string &zone, int total) {
+        return this->ownership.warmupShareOf(service, zone, total, this->timers.now());
     };
     this->watcher.evacuationsChanged = [this](const Protocol::Evacuations &evacuations) {
         this->applyEvacuations(evacuations);
@@ -156,7 +156,7 @@
             {"not_executed", sends.notExecuted},
             {"cancelled", sends.cancelled},
             {"answers_passed_over", sends.discarded + this->relays.counters().discarded},
-            {"kept_apart", sends.keptApart},
+            {"kept_apart", sends.reuseAvoided},
             {"connections_opened", sends.connectionsOpened},
             {"connections", this->pool.connectionCount()},
             {"gateways", this->pool.gatewayCount()},
@@ -329,7 +329,7 @@
 {
     this->quotas.updateGateways(this->gateways);
     const auto lastSync = this->watcher.lastLeaderSync();
-    this->quotas.setMayKeep(!this->draining && lastSync.has_value() && this->timers.now() - lastSync.value() < LeaderlessHoldTime);
+    this->quotas.setMayHoldShares(!this->draining && lastSync.has_value() && this->timers.now() - lastSync.value() < LeaderlessHoldTime);
 }
 
 void GatewayNode::admit(const Fleet::Workspace &workspace, CallerRequest request, const Wire::ExchangePointer &exchange)
@@ -378,7 +378,7 @@
             answerTo(exchange),
             isOverQuota ? "over-quota" : "no-quota-keeper",
             // When no keeper has replied, the caller should retry when a keeper that takes over now begins to grant requests, which is after about this time.
-            isOverQuota ? decision.retryAfter : this->options.quotas.quota.settleTime);
+            isOverQuota ? decision.retryAfter : this->options.quotas.quota.handoverTime);
         return;
     }
     // Another declaration may have become active while the request waited.
@@ -399,7 +399,7 @@
         this->refuse(Refusal::NotRun, query, answer, "not-quota-keeper");
         return;
     }
-    answer(this->options.dialect.writePartial(query.id, writeQuotaAnswer(reply)));
+    answer(this->options.dialect.writePartial(query.id, writeQuotaReply(reply)));
 }
 
 // ---- Refusals and targets
@@ -457,7 +457,7 @@
 {
     auto parameters = extractRelayParameters(message.headers);
     const auto answer = answerToSend(exchange, extractSendId(message.headers));
-    const auto quotaQuery = takeQuotaQuestion(message.headers);
+    const auto quotaQuery = extractQuotaQuery(message.headers);
     CallerRequest request = this->options.dialect.readRequest(std::move(message));
     if (quotaQuery.has_value()) {
         this->answerQuotaQuery(quotaQuery.value(), request, answer);
@@ -529,13 +529,13 @@
     // Removes the headers that only gateways may send, so that callers can't pass for gateways.
     (void)extractRelayParameters(request.message.headers);
     (void)extractSendId(request.message.headers);
-    (void)takeQuotaQuestion(request.message.headers);
+    (void)extractQuotaQuery(request.message.headers);
     const auto context = this->contextFor(route, workspace, std::nullopt);
     if (!route.isFanOut()) {
         this->run(std::make_unique<SingleRequest>(context, this->routes, route, std::move(request), this->chooseTarget(route)), exchange, answerTo(exchange));
         return;
     }
-    this->ownership.noteSearch();
+    this->ownership.recordSearch();
     auto plan = planRelay(route.shards, this->relayView(route, workspace, false), this->options.relay);
     this->counts.relayed += plan.parts.size();
     this->run(std::make_unique<FanOutRequest>(context, this->routes, route, std::move(request), std::move(plan), RequestOrigin::Caller),
--- a/Services/gatewayd/main.cpp
+++ b/Services/gatewayd/main.cpp
@@ -88,7 +88,7 @@
     options.pool.budget.window = settings.retryWindow;
     options.pool.budget.slackFrom = now + settings.retryWindow;
     options.ownership.slack.window = settings.retryWindow;
-    options.pool.cold = {.overshoot = settings.warmupOvershoot, .slack = settings.warmupSlack};
+    options.pool.warmup = {.overshoot = settings.warmupOvershoot, .slack = settings.warmupSlack};
     options.quotas.quota = {.overshoot = settings.quotaOvershoot, .slack = settings.quotaSlack, .window = settings.quotaWindow};
     options.pool.choice.seed = Core::randomNumber();
     options.requests.minimumReturnReserve = Gateway::minimumReturnReserveFor(options.requests, settings.processorShare);
