--- a/Services/coordinatord/main.cpp
+++ b/Services/coordinatord/main.cpp
@@ -60,7 +60,7 @@
     Coordinator::CoordinatorOptions options;
     options.watchEndpoint = Platform::internalEndpoint(settings, Platform::InternalPort::Watch);
     options.seeds = Platform::watchEndpoints(settings);
-    options.mayFound = settings.firstStart;
+    options.mayBootstrap = settings.firstStart;
     options.membership.targetVoters = 2 * static_cast<std::size_t>(settings.toleratedFailures) + 1;
     options.regions = settings.regions;
     options.heartbeats = Fleet::HeartbeatTimes::of(settings.heartbeatPeriod);
