--- a/Tests/Platform/TestCodecs.cpp
+++ b/Tests/Platform/TestCodecs.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Documents, headers and settings of the platform, good and bad.
+// Tests how the platform's documents, headers and settings are parsed, both valid and invalid ones.
 
 #include <LibGateway/RelayPlan.h>
 #include <platform/ConfigurationCodec.h>
@@ -36,7 +36,7 @@
 
 }
 
-Test(ConfigurationCodec, readsAWholeDocument)
+Test(ConfigurationCodec, parsesRoutesServicesAndLimits)
 {
     const auto read = Platform::readConfiguration(goodConfiguration().dump());
     cr_assert(read.has_value());
@@ -52,7 +52,7 @@
     cr_assert(declaration.limits.idleTimeout == Core::milliseconds(400));
 }
 
-Test(ConfigurationCodec, refusesWhatIsNotWholeOrContradictsItself)
+Test(ConfigurationCodec, rejectsTruncatedAndInvalidDocuments)
 {
     const std::string good = goodConfiguration().dump();
     for (std::size_t length = 0; length < good.size(); length += 7) {
@@ -60,7 +60,7 @@
     }
     struct Case {
         const char *name;
-        std::function<void(nlohmann::json &document)> spoil;
+        std::function<void(nlohmann::json &document)> makeInvalid;
     };
     const std::vector<Case> cases{
         {"no version",
@@ -170,12 +170,12 @@
     };
     for (const auto &item : cases) {
         auto document = goodConfiguration();
-        item.spoil(document);
+        item.makeInvalid(document);
         cr_assert_not(Platform::readConfiguration(document.dump()).has_value(), "%s", item.name);
     }
 }
 
-Test(ConfigurationCodec, readsWhereARouteMayBeServedAndWhatColdServersBear)
+Test(ConfigurationCodec, parsesAllowedRegionsAndWarmupRates)
 {
     auto document = goodConfiguration();
     document["routes"][0]["allowed_regions"] = {"bern", "zurich"};
@@ -186,7 +186,7 @@
     cr_assert(read.has_value());
     const auto &routes = read.value()->routes;
     cr_assert(routes[0].allowedRegions.allows("bern") && !routes[0].allowedRegions.allows("lausanne") && !routes[0].allowedRegions.allows(""));
-    cr_assert(routes[1].allowedRegions.isAnywhere() && routes[2].allowedRegions.isAnywhere(), "an empty list binds nothing");
+    cr_assert(routes[1].allowedRegions.isAnywhere() && routes[2].allowedRegions.isAnywhere(), "an empty list allows all regions");
     const auto &service = read.value()->services.at(Core::ServiceName("a"));
     cr_assert(service.warmupTime == Core::milliseconds(3500) && service.warmupRequestsPerSecond == 4.0);
     cr_assert(read.value()->services.at(Core::ServiceName("b")).warmupRequestsPerSecond == 0.0);
@@ -194,12 +194,12 @@
     cr_assert_not(Platform::checkRegions(*read.value(), {{"z1", "bern"}}).has_value());
 }
 
-Test(ConfigurationCodec, readsWorkspacesWithTheirKeysAndQuotas)
+Test(ConfigurationCodec, parsesWorkspacesWithKeysAndQuotas)
 {
     auto document = goodConfiguration();
-    cr_assert_not(Platform::readConfiguration(document.dump()).value()->workspaces.has_value(), "no keys are needed where nothing is said of workspaces");
+    cr_assert_not(Platform::readConfiguration(document.dump()).value()->workspaces.has_value(), "a document without the list of workspaces requires no keys");
     document["tenants"] = nlohmann::json::array();
-    cr_assert(Platform::readConfiguration(document.dump()).value()->workspaces.has_value(), "the last workspace's end opens nothing");
+    cr_assert(Platform::readConfiguration(document.dump()).value()->workspaces.has_value(), "an empty list of workspaces still requires keys");
     document["routes"][1]["public"] = true;
     document["tenants"]
         = {{{"name", "v"}, {"api_keys", {"one", "two", "one"}}, {"priority", 3}, {"rate_per_s", 2.5}, {"burst", 4}, {"allowed_regions", {"bern"}}},
@@ -207,10 +207,10 @@
     const auto read = Platform::readConfiguration(document.dump());
     cr_assert(read.has_value());
     const auto &workspaces = read.value()->workspaces.value();
-    const auto *holder = workspaces.holderOf(Fleet::ApiKey("two"));
-    cr_assert(holder != nullptr && holder == workspaces.holderOf(Fleet::ApiKey("one")) && holder == workspaces.find(Fleet::WorkspaceName("v")));
-    cr_assert(holder->priority == 3 && holder->quota.requestsPerSecond == 2.5 && holder->quota.burst == 4.0);
-    cr_assert(holder->allowedRegions.allows("bern") && !holder->allowedRegions.allows("zurich"));
+    const auto *owner = workspaces.holderOf(Fleet::ApiKey("two"));
+    cr_assert(owner != nullptr && owner == workspaces.holderOf(Fleet::ApiKey("one")) && owner == workspaces.find(Fleet::WorkspaceName("v")));
+    cr_assert(owner->priority == 3 && owner->quota.requestsPerSecond == 2.5 && owner->quota.burst == 4.0);
+    cr_assert(owner->allowedRegions.allows("bern") && !owner->allowedRegions.allows("zurich"));
     for (const char *unknown : {"", "One", "on", "oneone", "v", "w"}) {
         cr_assert_null(workspaces.holderOf(Fleet::ApiKey(unknown)), "%s", unknown);
     }
@@ -220,8 +220,8 @@
     cr_assert_not(Platform::checkRegions(*read.value(), {{"z2", "zurich"}}).has_value());
 }
 
-// Operators and callers see these messages, and they end up in logs.
-Test(ConfigurationCodec, namesNoKeyInWhatIsWrong)
+// Error messages are shown to operators and callers and are written to logs, so they must not contain API keys.
+Test(ConfigurationCodec, errorMessagesContainNoApiKey)
 {
     const std::vector<nlohmann::json> faulty{{{{"name", "v"}, {"api_keys", {"secret"}}}, {{"name", "w"}, {"api_keys", {"secret"}}}},
         {{{"name", "v"}, {"api_keys", "secret"}}},
@@ -236,8 +236,8 @@
     }
 }
 
-// What another program wrote: fields that are missing or of another type, unknown states, bytes that can't be read. None of it names a server.
-Test(HeartbeatCodec, refusesWhatABackendServerDidNotWrite)
+// Bodies that no backend server wrote must not register one: missing fields, wrong types, unknown states, changed bytes.
+Test(HeartbeatCodec, rejectsMissingFieldsWrongTypesAndCorruptedBytes)
 {
     const auto good = nlohmann::json::parse(
         R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","capacity":2,"state":"ready","warmup_left_ms":0,"sequence":4,"born":1790000000000})");
@@ -263,17 +263,17 @@
         for (int change = 0; change < 3; ++change) {
             bytes[random() % bytes.size()] = static_cast<char>(random());
         }
-        // Whatever comes of it: no exception, and nothing that is no address or no service.
-        const auto spoiled = Platform::readHeartbeat("i-1", bytes);
-        cr_assert(!spoiled.has_value() || (!spoiled->serviceName.empty() && Core::Endpoint::parse(spoiled->address).has_value()));
+        // The corrupted body may still be valid. It must not cause an exception, and if it is accepted, it has a service and a valid address.
+        const auto corrupted = Platform::readHeartbeat("i-1", bytes);
+        cr_assert(!corrupted.has_value() || (!corrupted->serviceName.empty() && Core::Endpoint::parse(corrupted->address).has_value()));
     }
-    cr_assert_eq(Platform::readBirth(R"({"born":5})"), 5);
+    cr_assert_eq(Platform::readStartTime(R"({"born":5})"), 5);
     for (const char *other : {"", "x", "{}", R"({"born":"5"})", R"({"born":0.5})"}) {
-        cr_assert_eq(Platform::readBirth(other), 0);
+        cr_assert_eq(Platform::readStartTime(other), 0);
     }
 }
 
-Test(RequestDialect, readsLoadWithAndWithoutThePaceOfTheMachine)
+Test(RequestDialect, parsesLoadReportsWithAndWithoutSlowdown)
 {
     const auto dialect = Platform::makeDialect();
     const auto read = [&dialect](const char *text) {
@@ -281,13 +281,13 @@
     };
     cr_assert(read("3,1,8").has_value() && read("3,1,8")->waiting == 1 && !read("3,1,8")->slowdown.has_value());
     cr_assert(read("3,1,8,400").has_value() && read("3,1,8,400")->slots == 8 && read("3,1,8,400")->slowdown == 4.0);
-    cr_assert(read("3,1,8,100,7").has_value(), "more may follow");
+    cr_assert(read("3,1,8,100,7").has_value(), "further figures are ignored");
     for (const char *bad : {"", "3", "3,1", "3,1,x", "3,1,8,x", "3,1,8,-1"}) {
         cr_assert_not(read(bad).has_value(), "%s", bad);
     }
 }
 
-Test(HeartbeatCodec, readsAndRefuses)
+Test(HeartbeatCodec, parsesHeartbeatsAndRejectsInvalidOnes)
 {
     const std::string good
         = R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","capacity":2,"state":"ready","warmup_left_ms":9,"sequence":4})";
@@ -305,7 +305,7 @@
     cr_assert_not(Platform::readHeartbeat("i-1", document.dump()).has_value());
 }
 
-Test(RequestDialect, passesOnWhatIsTheCallersAndSetsItsOwn)
+Test(RequestDialect, forwardsEndToEndHeadersAndSetsGatewayHeaders)
 {
     const auto dialect = Platform::makeDialect();
     Wire::Request message{.method = "POST",
@@ -324,16 +324,16 @@
     std::string bytes;
     dialect.writeRequest(bytes, {.caller = &request, .backend = Gateway::BackendName("i-9"), .timeLeft = Core::milliseconds(321)});
     cr_assert(bytes.starts_with("POST /a/b?c=1 HTTP/1.1\r\n"));
-    for (const char *there :
+    for (const char *present :
         {"Host: h.example\r\n", "Request-Id: id-1\r\n", "X-Other: 2\r\n", "Deadline-Ms: 321\r\n", "Target-Instance: i-9\r\n", "Content-Length: 4\r\n"}) {
-        cr_assert(bytes.find(there) != std::string::npos, "%s", there);
+        cr_assert(bytes.find(present) != std::string::npos, "%s", present);
     }
     for (const char *absent : {"forged", "X-Hop", "Deadline-Ms: 500", "chunked", "keep-alive"}) {
         cr_assert(bytes.find(absent) == std::string::npos, "%s", absent);
     }
 }
 
-Test(RequestDialect, tellsBackendServersTheWorkspaceAndNeverTheKey)
+Test(RequestDialect, sendsTheWorkspaceToBackendServersAndNeverTheApiKey)
 {
     const auto dialect = Platform::makeDialect();
     auto request = dialect.readRequest(Wire::Request{.method = "GET",
@@ -349,19 +349,19 @@
     cr_assert(written(dialect).find("enant: ") == std::string::npos && written(dialect).find("forged") == std::string::npos);
     request.workspace = Fleet::WorkspaceName("w");
     cr_assert_neq(written(dialect).find("Tenant: w\r\n"), std::string::npos);
-    cr_assert_eq(written(Gateway::makeRelayDialect(dialect)).find("Tenant"), std::string::npos, "gateways go by the terms of a part");
+    cr_assert_eq(written(Gateway::makeRelayDialect(dialect)).find("Tenant"), std::string::npos, "gateways send the workspace in the parameters of a part");
     for (const auto &bytes : {written(dialect), written(Gateway::makeRelayDialect(dialect))}) {
         cr_assert(bytes.find("-key") == std::string::npos, "%s", bytes.c_str());
     }
 }
 
-Test(RequestDialect, saysNotRunOnlyWhereNothingRan)
+Test(RequestDialect, sendsRetryAfterOnlyWhenNothingWasExecuted)
 {
     const auto dialect = Platform::makeDialect();
     struct Case {
         Gateway::Refusal refusal;
         int status;
-        bool comeBack;
+        bool mayRetry;
     };
     const std::vector<Case> cases{{Gateway::Refusal::NotRun, 503, true},
         {Gateway::Refusal::TimedOut, 504, false},
@@ -372,12 +372,12 @@
         const auto response = dialect.writeRefusal(item.refusal, Core::RequestId("id"), Core::milliseconds(150));
         cr_assert(response.status == item.status);
         const auto *retryAfter = Wire::findHeader(response.headers, "Retry-After");
-        cr_assert((retryAfter != nullptr) == item.comeBack);
+        cr_assert((retryAfter != nullptr) == item.mayRetry);
         cr_assert(retryAfter == nullptr || *retryAfter == "0.150");
     }
 }
 
-Test(SettingsFile, readsWhatItKnowsAndPassesOverTheRest)
+Test(SettingsFile, parsesKnownSettingsAndIgnoresUnknownOnes)
 {
     const auto read = Platform::parseProcessSettings(
         "node_name=n1\nip=10.1.0.9\nzone=z1\nzones.z1=r1\nzones.z2=r2\nlisten_addrs.frontend=10.1.0.9:8104\ninternal_ports=7380,7395\n"
@@ -393,7 +393,7 @@
     }
 }
 
-Test(RequestDialect, leavesWhatAnswersAreKnownByWhateverTheCallerNamesAsItsConnections)
+Test(RequestDialect, forwardsMatchingAndRelayHeadersThatConnectionLists)
 {
     const auto dialect = Platform::makeDialect();
     const auto relay = Gateway::makeRelayDialect(dialect);
--- a/Tests/Platform/TestConfigurationReader.cpp
+++ b/Tests/Platform/TestConfigurationReader.cpp
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The load pattern: a declaration of hundreds of routes over hundreds of shards that
-// changes twice a second. Read whole at an eighth of a core it kept each gateway from
-// all else for a tenth of a second at each change. What is taken over from the
-// document before has to come to the same as reading all of it.
+// Guards against gateways that stall at each change of a large declaration: hundreds
+// of routes over hundreds of shards that change twice a second. With an eighth of a
+// core, parsing the whole document blocked a gateway for a tenth of a second at each
+// change, so unchanged routes are reused. The result must be the same as that of
+// parsing the whole document.
 
 #include <platform/ConfigurationCodec.h>
 #include <platform/TopLevelList.h>
@@ -39,7 +40,7 @@
     return document;
 }
 
-/** Everything that a declaration says, as text. */
+/** Returns the contents of a declaration as text, or the error. */
 std::string describe(const Core::Result<std::shared_ptr<const Fleet::Declaration>> &read)
 {
     if (!read.has_value()) {
@@ -80,7 +81,7 @@
         document["services"].push_back({{"name", "added-" + std::to_string(random())}});
         break;
     case 5:
-        // Routes may name it still, which is wrong then.
+        // The document becomes invalid when a route still names this service.
         document["services"].erase(random() % document["services"].size());
         break;
     case 6:
@@ -97,10 +98,10 @@
 
 }
 
-Test(ConfigurationReader, comesToTheSameAsReadingEachDocumentWhole)
+Test(ConfigurationReader, givesTheSameResultAsParsingEachDocumentWhole)
 {
     std::mt19937 random(11);
-    std::size_t takenOver = 0;
+    std::size_t reused = 0;
     for (int series = 0; series < 30; ++series) {
         Platform::ConfigurationReader reader;
         auto good = documentOf(12, 6);
@@ -117,14 +118,14 @@
             const auto whole = Platform::readConfiguration(text);
             const auto read = reader.read(text);
             cr_assert(describe(read) == describe(whole), "series %d, step %d\n%s\n%s", series, step, describe(read).c_str(), describe(whole).c_str());
-            takenOver += reader.takenOver();
+            reused += reader.reusedRoutes();
             good = whole.has_value() && !document["routes"].empty() ? document : good;
         }
     }
-    cr_assert(takenOver > 1000, "%zu", takenOver);
+    cr_assert(reused > 1000, "%zu", reused);
 }
 
-Test(ConfigurationReader, readsNoMoreThanTheRoutesThatChanged)
+Test(ConfigurationReader, reusesAllUnchangedRoutes)
 {
     Platform::ConfigurationReader reader;
     auto document = documentOf(250, 180);
@@ -135,10 +136,10 @@
     document["routes"].back()["path_prefix"] = "/added/";
     const auto read = reader.read(document.dump());
     cr_assert(read.has_value() && read.value()->routes.size() == 251 && read.value()->routes[17].timeout == Core::milliseconds(77));
-    cr_assert_eq(reader.takenOver(), 249);
+    cr_assert_eq(reader.reusedRoutes(), 249);
 }
 
-Test(TopLevelList, findsItemsOrNothing)
+Test(TopLevelList, findsItemsAndRejectsMalformedDocuments)
 {
     const std::string text = R"( {"a": {"routes": [1]}, "routes" : [ {"x": "]\"}"} , [1, 2],3 ] , "b": "[,]"} )";
     const auto found = Platform::findTopLevelList(text, "routes");
