--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -11,8 +11,8 @@
 static constexpr guint IdleSeconds = 120;
 static constexpr std::int64_t SessionLifetimeMicroseconds = 600'000'000;
 
-/** What the library's callback needs to find its exchange. */
-struct HttpClient::Finish {
+/** User data of libsoup's callback, by which it finds its exchange. */
+struct HttpClient::CallbackContext {
     HttpClient *client;
     std::weak_ptr<int> alive;
     ExchangeId id;
@@ -41,19 +41,19 @@
     }
     found.session.reset(soup_session_new_with_options(
         "max-conns", key.connectionsPerHost, "max-conns-per-host", key.connectionsPerHost, "idle-timeout", IdleSeconds, "timeout", 0, nullptr));
-    this->dropUnusedSessions(now);
+    this->removeUnusedSessions(now);
     return found;
 }
 
-void HttpClient::dropUnusedSessions(std::int64_t now)
+void HttpClient::removeUnusedSessions(std::int64_t now)
 {
-    // Hosts come and go; a session that nobody used for long goes with its connections.
+    // Hosts change over time, so a session that was not used for its lifetime is removed together with its connections.
     std::erase_if(this->sessions, [now](const auto &item) {
         return item.second.inFlight == 0 && now - item.second.lastUsedMicroseconds > SessionLifetimeMicroseconds;
     });
 }
 
-void HttpClient::starting(SoupMessage *, gpointer data)
+void HttpClient::handleStarting(SoupMessage *, gpointer data)
 {
     static_cast<Exchange *>(data)->started = true;
 }
@@ -77,29 +77,29 @@
         soup_message_set_request_body_from_bytes(message, request.contentType.c_str(), body);
         g_bytes_unref(body);
     }
-    // The library emits this right before the first byte of the request is written.
-    g_signal_connect(message, "starting", G_CALLBACK(starting), exchange.get());
+    // libsoup emits this signal right before it writes the first byte of the request.
+    g_signal_connect(message, "starting", G_CALLBACK(handleStarting), exchange.get());
     exchange->sessionKey = SessionKey{.endpoint = request.endpoint, .connectionsPerHost = request.connectionsPerHost};
     auto &session = this->sessionFor(exchange->sessionKey);
     ++session.inFlight;
-    auto *finish = new Finish{.client = this, .alive = this->alive, .id = id};
-    soup_session_send_and_read_async(session.session.get(), message, G_PRIORITY_DEFAULT, exchange->cancellable.get(), responseArrived, finish);
+    auto *context = new CallbackContext{.client = this, .alive = this->alive, .id = id};
+    soup_session_send_and_read_async(session.session.get(), message, G_PRIORITY_DEFAULT, exchange->cancellable.get(), handleResponse, context);
     this->exchanges.emplace(id, std::move(exchange));
     return id;
 }
 
-void HttpClient::responseArrived(GObject *source, GAsyncResult *result, gpointer data)
+void HttpClient::handleResponse(GObject *source, GAsyncResult *result, gpointer data)
 {
-    const std::unique_ptr<Finish> finish(static_cast<Finish *>(data));
+    const std::unique_ptr<CallbackContext> context(static_cast<CallbackContext *>(data));
     GError *rawError = nullptr;
     GBytes *bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, &rawError);
     const Core::ErrorPointer error(rawError);
     const std::unique_ptr<GBytes, void (*)(GBytes *)> body(bytes, g_bytes_unref);
-    if (finish->alive.expired()) {
+    if (context->alive.expired()) {
         return;
     }
-    auto &client = *finish->client;
-    const auto found = client.exchanges.find(finish->id);
+    auto &client = *context->client;
+    const auto found = client.exchanges.find(context->id);
     if (found == client.exchanges.end()) {
         return;
     }
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// An HTTP client on the GLib loop: libsoup, with one session for each host.
-// libsoup walks all messages and all connections of a session at each step of
-// any of them, so a session shared by many hosts costs the square of what is in
-// flight (docs/QUERY-PATH.md gives the figures).
+// An HTTP client on the GLib loop, based on libsoup with one session per host.
+// libsoup iterates over all messages and connections of a session at each step of
+// any of them, so the cost of a session shared by many hosts would grow with the
+// square of the requests in flight (docs/QUERY-PATH.md gives the figures).
 
 #pragma once
 
@@ -26,7 +26,7 @@
 namespace Http
 {
 
-/** A request to be sent. */
+/** A request to send. */
 struct ClientRequest {
     std::string method{"GET"};
     Core::Endpoint endpoint;
@@ -35,27 +35,28 @@
     std::vector<Header> headers;
     std::string contentType;
     std::string body;
-    /** Connections that may be open to this host. */
+    /** Maximum number of open connections to this host. */
     int connectionsPerHost{8};
 };
 
-/** How an exchange ended. */
+/** The outcome of an exchange. */
 struct ClientResult {
-    /** 0 when no whole response came. */
+    /** The response's status; 0 when no complete response was received. */
     int status{0};
     std::string contentType;
     std::string body;
-    /** The value of a response header, empty when it is not there. */
+    /** Returns the value of a response header; empty when the header is absent. Valid only during the result hook. */
     std::function<std::string(const char *name)> header;
-    /** Whether any byte of the request may have left. Only false is proof. */
+    /** Whether any byte of the request may have been sent. False proves that none was sent; true proves nothing. */
     bool mayHaveBeenSent{true};
+    /** Empty when a complete response was received. */
     std::string error;
 };
 
-/** Names an exchange until it ends. */
+/** Identifies an exchange until it ends. */
 using ExchangeId = std::uint64_t;
 
-/** Sends requests. Requests with a method other than GET are never sent twice by the library. */
+/** Sends requests. libsoup never sends a request twice unless its method is GET. */
 class HttpClient
 {
 public:
@@ -66,10 +67,10 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /** The hook is called exactly once, from the loop, unless the exchange is cancelled. */
+    /** Sends a request. The hook is called exactly once, from the loop, unless the exchange is cancelled. */
     ExchangeId send(const ClientRequest &request, ResultHook done);
 
-    /** Ends an exchange without calling its hook; its connection is closed, which tells the server. */
+    /** Cancels an exchange without calling its hook. Its connection is closed, by which the server detects the cancellation. */
     void cancel(ExchangeId id);
 
     [[nodiscard]] std::size_t inFlight() const;
@@ -93,12 +94,12 @@
         ResultHook done;
         bool started{false};
     };
-    struct Finish;
+    struct CallbackContext;
 
     [[nodiscard]] Session &sessionFor(const SessionKey &key);
-    void dropUnusedSessions(std::int64_t now);
-    static void starting(SoupMessage *message, gpointer data);
-    static void responseArrived(GObject *source, GAsyncResult *result, gpointer data);
+    void removeUnusedSessions(std::int64_t now);
+    static void handleStarting(SoupMessage *message, gpointer data);
+    static void handleResponse(GObject *source, GAsyncResult *result, gpointer data);
 
     std::map<SessionKey, Session> sessions;
     std::unordered_map<ExchangeId, std::unique_ptr<Exchange>> exchanges;
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/** Answers one message of libsoup. */
+/** Sends the response to one libsoup message. */
 class SoupResponder final : public Responder
 {
 public:
@@ -29,7 +29,7 @@
     {
         g_signal_handler_disconnect(this->message.get(), this->finishedHandler);
         if (!this->answered && !this->finished) {
-            // A handler that forgot to answer must not leave the client hanging.
+            // A handler that did not respond must not leave the client waiting forever.
             soup_server_message_set_status(this->message.get(), SOUP_STATUS_INTERNAL_SERVER_ERROR, nullptr);
             soup_server_message_unpause(this->message.get());
         }
@@ -71,9 +71,9 @@
     bool finished{false};
 };
 
-/** What a weak reference to a connection carries. */
-struct OpenConnection {
-    std::function<void()> closed;
+/** User data of a weak reference to a connection or message: the function to call once the object is released. */
+struct ReleaseHook {
+    std::function<void()> released;
 };
 
 }
@@ -99,9 +99,9 @@
         const Core::ErrorPointer error(rawError);
         return Core::failure(Core::ErrorKind::Unreachable, "cannot listen on " + endpoint.toString() + ": " + error->message);
     }
-    soup_server_add_early_handler(server->server.get(), nullptr, headersArrived, server.get(), nullptr);
-    soup_server_add_handler(server->server.get(), nullptr, requestArrived, server.get(), nullptr);
-    g_signal_connect(server->service.get(), "incoming", G_CALLBACK(incoming), server.get());
+    soup_server_add_early_handler(server->server.get(), nullptr, handleHeaders, server.get(), nullptr);
+    soup_server_add_handler(server->server.get(), nullptr, handleRequest, server.get(), nullptr);
+    g_signal_connect(server->service.get(), "incoming", G_CALLBACK(handleIncoming), server.get());
     g_socket_service_start(server->service.get());
     return server;
 }
@@ -135,16 +135,16 @@
     this->options.maximumConnections = maximum;
 }
 
-gboolean HttpServer::incoming(GSocketService *, GSocketConnection *connection, GObject *, gpointer data)
+gboolean HttpServer::handleIncoming(GSocketService *, GSocketConnection *connection, GObject *, gpointer data)
 {
     static_cast<HttpServer *>(data)->accept(Core::shareObject(connection));
     return TRUE;
 }
 
-void HttpServer::connectionGone(gpointer data, GObject *)
+void HttpServer::handleRelease(gpointer data, GObject *)
 {
-    const std::unique_ptr<OpenConnection> connection(static_cast<OpenConnection *>(data));
-    connection->closed();
+    const std::unique_ptr<ReleaseHook> connection(static_cast<ReleaseHook *>(data));
+    connection->released();
 }
 
 void HttpServer::accept(Core::ObjectPointer<GSocketConnection> connection)
@@ -158,10 +158,10 @@
     ++this->connections->open;
     this->counts.peakConnections = std::max(this->counts.peakConnections, this->connections->open);
     const auto counted = this->connections;
-    auto *open = new OpenConnection{.closed = [counted] {
+    auto *open = new ReleaseHook{.released = [counted] {
         --counted->open;
     }};
-    g_object_weak_ref(G_OBJECT(connection.get()), connectionGone, open);
+    g_object_weak_ref(G_OBJECT(connection.get()), handleRelease, open);
     if (this->options.acceptDelay == Core::Duration(0)) {
         this->serve(connection.get());
         return;
@@ -187,8 +187,8 @@
     soup_server_accept_iostream(this->server.get(), G_IO_STREAM(connection), local.get(), remote.get(), nullptr);
 }
 
-// A body that grows past the limit without having said its length.
-static void chunkArrived(SoupServerMessage *message, GBytes *, gpointer data)
+// Rejects a body that exceeds the limit while it is being received. Bodies without a declared length are only detected here.
+static void checkBodySize(SoupServerMessage *message, GBytes *, gpointer data)
 {
     const auto limit = GPOINTER_TO_SIZE(data);
     auto *body = soup_server_message_get_request_body(message);
@@ -201,24 +201,24 @@
 static constexpr const char *TooLargeDocument
     = R"({"type":"urn:crankrudder:problem:too-large","title":"The request is too large","status":413,"run":"not-run"})";
 
-static void refuseTooLarge(SoupServerMessage *message)
+static void rejectTooLarge(SoupServerMessage *message)
 {
     soup_message_headers_replace(soup_server_message_get_response_headers(message), "Connection", "close");
     soup_server_message_set_status(message, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE, nullptr);
     soup_server_message_set_response(message, "application/problem+json", SOUP_MEMORY_STATIC, TooLargeDocument, strlen(TooLargeDocument));
 }
 
-void HttpServer::headersArrived(SoupServer *, SoupServerMessage *message, const char *, GHashTable *, gpointer data)
+void HttpServer::handleHeaders(SoupServer *, SoupServerMessage *message, const char *, GHashTable *, gpointer data)
 {
     const auto &self = *static_cast<HttpServer *>(data);
     auto *headers = soup_server_message_get_request_headers(message);
     const auto length = soup_message_headers_get_content_length(headers);
     if (length > static_cast<goffset>(self.options.maximumBodyBytes)) {
         soup_message_body_set_accumulate(soup_server_message_get_request_body(message), FALSE);
-        refuseTooLarge(message);
+        rejectTooLarge(message);
         return;
     }
-    g_signal_connect(message, "got-chunk", G_CALLBACK(chunkArrived), GSIZE_TO_POINTER(self.options.maximumBodyBytes));
+    g_signal_connect(message, "got-chunk", G_CALLBACK(checkBodySize), GSIZE_TO_POINTER(self.options.maximumBodyBytes));
 }
 
 static std::map<std::string, std::string> readQuery(GHashTable *table)
@@ -257,17 +257,17 @@
     return request;
 }
 
-void HttpServer::requestArrived(SoupServer *, SoupServerMessage *message, const char *path, GHashTable *query, gpointer data)
+void HttpServer::handleRequest(SoupServer *, SoupServerMessage *message, const char *path, GHashTable *query, gpointer data)
 {
     auto &self = *static_cast<HttpServer *>(data);
     ++self.counts.requests;
     if (soup_server_message_get_status(message) == SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE) {
-        refuseTooLarge(message);
+        rejectTooLarge(message);
         return;
     }
-    // Counted until the message is let go, which is after its last byte and may be after the server object is gone.
+    // A request is counted until its message is released: after the last byte of the response, and possibly after the server is destroyed.
     ++self.connections->requests;
-    g_object_weak_ref(G_OBJECT(message), connectionGone, new OpenConnection{.closed = [counted = self.connections] {
+    g_object_weak_ref(G_OBJECT(message), handleRelease, new ReleaseHook{.released = [counted = self.connections] {
         --counted->requests;
     }});
     soup_server_message_pause(message);
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// An HTTP server on the GLib loop: libsoup with our own accepting, so that
-// connections can be counted, capped and timed out.
+// An HTTP server on the GLib loop, based on libsoup. Connections are accepted
+// outside libsoup, so that they can be counted, limited in number and timed out.
 
 #pragma once
 
@@ -24,7 +24,7 @@
 namespace Http
 {
 
-/** How a server listens and what it tolerates. */
+/** Endpoint, handler and limits of a server. */
 struct ServerOptions {
     /** Shown in log lines. */
     std::string name;
@@ -32,13 +32,13 @@
     Handler handler;
     std::size_t maximumConnections{4096};
     std::size_t maximumBodyBytes{1024 * 1024};
-    /** A connection on which nothing moves for this long is closed. */
+    /** A connection on which no byte is received or sent for this time is closed. */
     std::chrono::seconds idleTimeout{60};
-    /** Waited before a new connection is served; for stand-ins of slow servers. */
+    /** Delay before a new connection is served. Used by fake servers that imitate slow ones. */
     Core::Duration acceptDelay{0};
 };
 
-/** Counts for metrics. */
+/** Counters for metrics. */
 struct ServerCounters {
     std::uint64_t accepted{0};
     std::uint64_t refused{0};
@@ -59,17 +59,17 @@
 
     [[nodiscard]] std::size_t connectionCount() const;
     [[nodiscard]] const ServerCounters &counters() const;
-    /** Requests whose response has not been written to the last byte. */
+    /** Returns the number of requests whose response has not been written to the last byte. */
     [[nodiscard]] std::size_t requestsInFlight() const;
-    /** Changes the cap for connections yet to come. */
+    /** Changes the limit for connections that are accepted from now on. */
     void setMaximumConnections(std::size_t maximum);
 
 private:
     HttpServer(ServerOptions options, Core::TimerService &timers);
-    static gboolean incoming(GSocketService *service, GSocketConnection *connection, GObject *source, gpointer data);
-    static void connectionGone(gpointer data, GObject *connection);
-    static void headersArrived(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query, gpointer data);
-    static void requestArrived(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query, gpointer data);
+    static gboolean handleIncoming(GSocketService *service, GSocketConnection *connection, GObject *source, gpointer data);
+    static void handleRelease(gpointer data, GObject *connection);
+    static void handleHeaders(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query, gpointer data);
+    static void handleRequest(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query, gpointer data);
     void accept(Core::ObjectPointer<GSocketConnection> connection);
     void serve(GSocketConnection *connection);
 
@@ -77,7 +77,7 @@
     Core::TimerService &timers;
     Core::ObjectPointer<GSocketService> service;
     Core::ObjectPointer<SoupServer> server;
-    // Shared with the weak references of connections, which may outlive the server.
+    // Shared with the hooks of connections and messages, which may be released after the server is destroyed.
     struct Connections {
         std::size_t open{0};
         std::size_t requests{0};
--- a/Libraries/LibHttp/Message.h
+++ b/Libraries/LibHttp/Message.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What an HTTP handler gets and gives, free of the library that carries it.
+// Requests and responses as HTTP handlers see them, independent of the HTTP
+// library.
 
 #pragma once
 
@@ -16,29 +17,29 @@
 namespace Http
 {
 
-/** One name and value. */
+/** A header's name and value. */
 struct Header {
     std::string name;
     std::string value;
 };
 
-/** A whole request. */
+/** A completely received request. */
 struct Request {
     std::string method;
-    /** Decoded, without the query. */
+    /** The path, decoded and without the query. */
     std::string path;
-    /** The query's parameters, decoded. Of two with one name the last counts. */
+    /** The query's parameters, decoded. When a name occurs more than once, its last value counts. */
     std::map<std::string, std::string> query;
     std::string contentType;
     std::string body;
-    /** The value of a header, empty when it is not there. */
+    /** Returns the value of a header; empty when the header is absent. */
     std::function<std::string(const char *name)> header;
 
-    /** A query parameter, empty when it is not there. */
+    /** Returns a query parameter; empty when it is absent. */
     [[nodiscard]] std::string parameter(const std::string &name) const;
 };
 
-/** A whole response. */
+/** A complete response. */
 struct Response {
     int status{200};
     std::string contentType{"application/json"};
@@ -46,7 +47,7 @@
     std::vector<Header> headers;
 };
 
-/** Gives the response of one request. May be called later; calls after the connection is gone do nothing. */
+/** Sends the response to one request, during the handler or later. Does nothing once the connection is closed. */
 class Responder
 {
 public:
@@ -55,10 +56,10 @@
     Responder &operator=(const Responder &) = delete;
     virtual ~Responder() = default;
 
-    /** To be called once. */
+    /** Sends the response. Must be called exactly once. */
     virtual void respond(Response response) = 0;
 
-    /** Called when the client went away before the response. */
+    /** Called when the client closes the connection before the response. */
     std::function<void()> aborted;
 };
 
@@ -67,10 +68,10 @@
 /** Handles one request. */
 using Handler = std::function<void(const Request &request, const ResponderPointer &responder)>;
 
-/** Text that may stand in a path segment or query value. */
+/** Percent-encodes text for use in a path segment or query value. */
 [[nodiscard]] std::string escape(const std::string &text);
 
-/** The segments of a path, empty ones left out. */
+/** Returns the segments of a path without empty ones. */
 [[nodiscard]] std::vector<std::string> splitPath(const std::string &path);
 
 }
--- a/Libraries/LibMetrics/LatencyHistogram.cpp
+++ b/Libraries/LibMetrics/LatencyHistogram.cpp
@@ -12,12 +12,12 @@
 
 void LatencyHistogram::add(Core::Duration latency)
 {
-    const auto bucket = std::lower_bound(UpperEnds.begin(), UpperEnds.end(), Core::toFractionalMilliseconds(latency));
-    ++this->buckets[static_cast<std::size_t>(bucket - UpperEnds.begin())];
+    const auto bucket = std::lower_bound(UpperBounds.begin(), UpperBounds.end(), Core::toFractionalMilliseconds(latency));
+    ++this->buckets[static_cast<std::size_t>(bucket - UpperBounds.begin())];
     this->sum += latency;
 }
 
-const std::array<std::uint64_t, LatencyHistogram::UpperEnds.size() + 1> &LatencyHistogram::counts() const
+const std::array<std::uint64_t, LatencyHistogram::UpperBounds.size() + 1> &LatencyHistogram::counts() const
 {
     return this->buckets;
 }
--- a/Libraries/LibMetrics/LatencyHistogram.h
+++ b/Libraries/LibMetrics/LatencyHistogram.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Counts of latencies in fixed buckets, for a monitoring system to add up over
-// many processes. LatencyDigest is for decisions inside one.
+// Counts latencies in fixed buckets, so that a monitoring system can sum them over
+// many processes. LatencyDigest serves decisions within one process.
 
 #pragma once
 
@@ -16,21 +16,21 @@
 namespace Metrics
 {
 
-/** Grows for the life of the process. */
+/** A histogram whose counts grow until the process ends. */
 class LatencyHistogram
 {
 public:
-    /** Upper ends of the buckets in milliseconds; a last bucket takes the rest. Around the targets of the deployments, 80 to 600 ms. */
-    static constexpr std::array<int, 12> UpperEnds{5, 10, 20, 40, 80, 120, 200, 300, 600, 1200, 3000, 6000};
+    /** Upper bounds of the buckets in milliseconds; a last bucket counts the rest. They lie around the deployments' latency targets, 80 to 600 ms. */
+    static constexpr std::array<int, 12> UpperBounds{5, 10, 20, 40, 80, 120, 200, 300, 600, 1200, 3000, 6000};
 
     void add(Core::Duration latency);
 
-    /** Latencies in each bucket, the last one for the rest. */
-    [[nodiscard]] const std::array<std::uint64_t, UpperEnds.size() + 1> &counts() const;
+    /** Returns the number of latencies in each bucket. The last bucket counts those above all bounds. */
+    [[nodiscard]] const std::array<std::uint64_t, UpperBounds.size() + 1> &counts() const;
     [[nodiscard]] double sumSeconds() const;
 
 private:
-    std::array<std::uint64_t, UpperEnds.size() + 1> buckets{};
+    std::array<std::uint64_t, UpperBounds.size() + 1> buckets{};
     Core::Duration sum{0};
 };
 
--- a/Libraries/LibMetrics/MetricsPage.cpp
+++ b/Libraries/LibMetrics/MetricsPage.cpp
@@ -12,7 +12,7 @@
 namespace Metrics
 {
 
-prometheus::ClientMetric &MetricsPage::metricOf(const std::string &name, const std::string &help, prometheus::MetricType type, const Labels &labels)
+prometheus::ClientMetric &MetricsPage::addMetric(const std::string &name, const std::string &help, prometheus::MetricType type, const Labels &labels)
 {
     auto family = std::find_if(this->families.begin(), this->families.end(), [&name](const prometheus::MetricFamily &candidate) {
         return candidate.name == name;
@@ -30,21 +30,21 @@
 
 void MetricsPage::add(const std::string &name, const std::string &help, prometheus::MetricType type, const Labels &labels, double value)
 {
-    auto &metric = this->metricOf(name, help, type, labels);
+    auto &metric = this->addMetric(name, help, type, labels);
     metric.counter.value = value;
     metric.gauge.value = value;
 }
 
 void MetricsPage::histogram(const std::string &name, const std::string &help, const LatencyHistogram &histogram, const Labels &labels)
 {
-    auto &metric = this->metricOf(name, help, prometheus::MetricType::Histogram, labels).histogram;
+    auto &metric = this->addMetric(name, help, prometheus::MetricType::Histogram, labels).histogram;
     std::uint64_t cumulative = 0;
     for (std::size_t index = 0; index < histogram.counts().size(); ++index) {
         cumulative += histogram.counts()[index];
-        const bool last = index == LatencyHistogram::UpperEnds.size();
+        const bool last = index == LatencyHistogram::UpperBounds.size();
         prometheus::ClientMetric::Bucket bucket;
         bucket.cumulative_count = cumulative;
-        bucket.upper_bound = last ? std::numeric_limits<double>::infinity() : LatencyHistogram::UpperEnds[index] / 1000.0;
+        bucket.upper_bound = last ? std::numeric_limits<double>::infinity() : LatencyHistogram::UpperBounds[index] / 1000.0;
         metric.bucket.push_back(bucket);
     }
     metric.sample_count = cumulative;
--- a/Libraries/LibMetrics/MetricsPage.h
+++ b/Libraries/LibMetrics/MetricsPage.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Numbers for a monitoring system, in the Prometheus text format.
-// docs/OPERATIONS.md says what each means and when to be woken.
+// Metrics for a monitoring system, in the Prometheus text format.
+// docs/OPERATIONS.md says what each metric means and when to alert an operator.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 namespace Metrics
 {
 
-/** Collects families and writes them with the prometheus-cpp serializer. */
+/** Collects metrics and serializes them with prometheus-cpp. Metrics of the same name form one family, whose help text and type are those of the first. */
 class MetricsPage
 {
 public:
@@ -31,10 +31,11 @@
 
     void histogram(const std::string &name, const std::string &help, const LatencyHistogram &histogram, const Labels &labels = {});
 
+    /** Returns the page in the Prometheus text format. */
     [[nodiscard]] std::string text() const;
 
 private:
-    [[nodiscard]] prometheus::ClientMetric &metricOf(const std::string &name, const std::string &help, prometheus::MetricType type, const Labels &labels);
+    [[nodiscard]] prometheus::ClientMetric &addMetric(const std::string &name, const std::string &help, prometheus::MetricType type, const Labels &labels);
     void add(const std::string &name, const std::string &help, prometheus::MetricType type, const Labels &labels, double value);
 
     std::vector<prometheus::MetricFamily> families;
--- a/Libraries/LibRpc/FrameStream.cpp
+++ b/Libraries/LibRpc/FrameStream.cpp
@@ -13,7 +13,7 @@
 static constexpr std::size_t ReadBufferBytes = 64 * 1024;
 static constexpr std::size_t LengthBytes = 4;
 
-// What a GIO callback gets: it keeps the stream alive until the operation has ended.
+// User data of a GIO callback. It keeps the stream alive until the operation has ended.
 using KeepAlive = std::shared_ptr<FrameStream>;
 
 std::shared_ptr<FrameStream> FrameStream::create(Core::ObjectPointer<GIOStream> stream, FrameLimits limits)
@@ -28,9 +28,9 @@
 
 FrameStream::~FrameStream() = default;
 
-void FrameStream::start(FrameHook frameArrivedHook, ClosedHook closedHook)
+void FrameStream::start(FrameHook frameReceivedHook, ClosedHook closedHook)
 {
-    this->frameArrived = std::move(frameArrivedHook);
+    this->frameReceived = std::move(frameReceivedHook);
     this->closed = std::move(closedHook);
     this->readMore();
 }
@@ -62,18 +62,18 @@
         return;
     }
     if (count == 0) {
-        self.close("the other side closed the connection");
+        self.close("the peer closed the connection");
         return;
     }
-    self.takeBytes(self.readBuffer.data(), static_cast<std::size_t>(count));
+    self.receiveBytes(self.readBuffer.data(), static_cast<std::size_t>(count));
     self.readMore();
 }
 
-void FrameStream::takeBytes(const char *bytes, std::size_t count)
+void FrameStream::receiveBytes(const char *bytes, std::size_t count)
 {
     this->received += count;
     this->incoming.append(bytes, count);
-    this->takeFrames();
+    this->extractFrames();
 }
 
 static std::uint32_t readLength(const std::string &bytes, std::size_t offset)
@@ -85,11 +85,11 @@
     return length;
 }
 
-void FrameStream::takeFrames()
+void FrameStream::extractFrames()
 {
     std::size_t offset = 0;
-    // NOTE: The hook is copied, because it may close the stream, which lets the member go.
-    const auto hook = this->frameArrived;
+    // NOTE: The hook is copied because it may close the stream, which resets the member.
+    const auto hook = this->frameReceived;
     while (!this->isClosed && this->incoming.size() - offset >= LengthBytes) {
         const std::uint32_t length = readLength(this->incoming, offset);
         if (length > this->limits.maximumFrameBytes) {
@@ -117,7 +117,7 @@
     }
     this->outgoing += payload;
     if (this->outgoing.size() > this->limits.maximumQueuedBytes) {
-        this->close("the other side reads too slowly");
+        this->close("the peer reads too slowly");
         return;
     }
     this->writeMore();
@@ -125,10 +125,10 @@
 
 void FrameStream::writeMore()
 {
-    if (this->writeUnderWay || this->isClosed || this->outgoing.empty()) {
+    if (this->isWriteInFlight || this->isClosed || this->outgoing.empty()) {
         return;
     }
-    this->writeUnderWay = true;
+    this->isWriteInFlight = true;
     this->writing = std::move(this->outgoing);
     this->outgoing.clear();
     auto *output = g_io_stream_get_output_stream(this->stream.get());
@@ -143,7 +143,7 @@
     GError *rawError = nullptr;
     gsize written = 0;
     const bool complete = g_output_stream_write_all_finish(G_OUTPUT_STREAM(source), result, &written, &rawError) != FALSE;
-    self.writeUnderWay = false;
+    self.isWriteInFlight = false;
     self.sent += written;
     if (!complete) {
         const Core::ErrorPointer error(rawError);
@@ -162,7 +162,7 @@
     const auto keepAlive = this->shared_from_this();
     g_cancellable_cancel(this->cancellable.get());
     g_io_stream_close_async(this->stream.get(), G_PRIORITY_DEFAULT, nullptr, nullptr, nullptr);
-    this->frameArrived = nullptr;
+    this->frameReceived = nullptr;
     const auto hook = std::exchange(this->closed, nullptr);
     if (hook) {
         hook(reason);
@@ -176,7 +176,7 @@
 
 bool FrameStream::hasUnwritten() const
 {
-    return this->writeUnderWay || !this->outgoing.empty();
+    return this->isWriteInFlight || !this->outgoing.empty();
 }
 
 std::uint64_t FrameStream::bytesReceived() const
--- a/Libraries/LibRpc/FrameStream.h
+++ b/Libraries/LibRpc/FrameStream.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// One byte stream that carries Thrift frames: four bytes of length, then the
-// message. This is Thrift's own framed transport, moved by the GLib loop.
+// A byte stream that carries Thrift frames: four bytes of length, then the
+// message. This is the format of Thrift's own framed transport, read and written
+// on the GLib loop.
 
 #pragma once
 
@@ -20,11 +21,11 @@
 namespace Rpc
 {
 
-/** What a stream accepts. */
+/** Limits of a stream. */
 struct FrameLimits {
-    /** A longer frame closes the stream. */
+    /** A longer incoming frame closes the stream. */
     std::uint32_t maximumFrameBytes{16 * 1024 * 1024};
-    /** When this much waits to be written, the other side is too slow and the stream closes. */
+    /** The stream is closed when more bytes than this wait to be written, because the peer reads too slowly. */
     std::size_t maximumQueuedBytes{64 * 1024 * 1024};
 };
 
@@ -40,22 +41,22 @@
     FrameStream(const FrameStream &) = delete;
     FrameStream &operator=(const FrameStream &) = delete;
 
-    /** Starts to read. The hooks are called from the loop, `closed` exactly once. */
-    void start(FrameHook frameArrived, ClosedHook closed);
+    /** Starts reading. The hooks are called from the loop, `closed` exactly once. */
+    void start(FrameHook frameReceived, ClosedHook closed);
 
-    /** Queues one frame. */
+    /** Queues one frame for writing. Does nothing when the stream is closed. */
     void send(const std::string &payload);
 
-    /** Ends the stream; `closed` is called with the reason. */
+    /** Closes the stream and calls `closed` with the reason. Does nothing when the stream is closed already. */
     void close(const std::string &reason);
 
-    /** Whether bytes of an unfinished frame have arrived. */
+    /** Whether a frame has been received in part. */
     [[nodiscard]] bool hasPartialFrame() const;
 
-    /** Whether bytes wait to be written. */
+    /** Whether queued bytes have not been written yet. */
     [[nodiscard]] bool hasUnwritten() const;
 
-    /** Counts every read, so that an owner can tell a stalled sender. */
+    /** Returns the number of bytes read so far. It grows with every read, so that the owner can detect a stalled sender. */
     [[nodiscard]] std::uint64_t bytesReceived() const;
     [[nodiscard]] std::uint64_t bytesSent() const;
 
@@ -63,8 +64,8 @@
     FrameStream(Core::ObjectPointer<GIOStream> stream, FrameLimits limits);
 
     void readMore();
-    void takeBytes(const char *bytes, std::size_t count);
-    void takeFrames();
+    void receiveBytes(const char *bytes, std::size_t count);
+    void extractFrames();
     void writeMore();
     static void readDone(GObject *source, GAsyncResult *result, gpointer data);
     static void writeDone(GObject *source, GAsyncResult *result, gpointer data);
@@ -72,7 +73,7 @@
     Core::ObjectPointer<GIOStream> stream;
     Core::ObjectPointer<GCancellable> cancellable;
     FrameLimits limits;
-    FrameHook frameArrived;
+    FrameHook frameReceived;
     ClosedHook closed;
     std::string readBuffer;
     std::string incoming;
@@ -81,8 +82,8 @@
     std::uint64_t received{0};
     std::uint64_t sent{0};
     bool isClosed{false};
-    // Invariant: at most one write is under way, and `writing` does not change meanwhile.
-    bool writeUnderWay{false};
+    // Invariant: at most one write is in flight, and `writing` does not change until it ends.
+    bool isWriteInFlight{false};
 };
 
 }
--- a/Libraries/LibRpc/RpcChannel.cpp
+++ b/Libraries/LibRpc/RpcChannel.cpp
@@ -13,7 +13,7 @@
 using apache::thrift::transport::TMemoryBuffer;
 using apache::thrift::transport::TTransportException;
 
-using ChannelKeepAlive = std::weak_ptr<RpcChannel>;
+using WeakChannel = std::weak_ptr<RpcChannel>;
 
 RpcChannel::RpcChannel(ChannelOptions options, Core::TimerService &timers) : options(std::move(options)), timers(timers)
 {
@@ -30,7 +30,7 @@
         g_cancellable_cancel(this->connecting.get());
     }
     if (this->stream) {
-        this->stream->close("the channel is gone");
+        this->stream->close("the channel was destroyed");
     }
 }
 
@@ -72,7 +72,7 @@
 
 void RpcChannel::sendMessage(const VoidCallback &, TMemoryBuffer *)
 {
-    // None of our procedures is one-way, so the generated clients never get here.
+    // No procedure is one-way, so the generated clients never call this function.
     throw TTransportException(TTransportException::INTERNAL_ERROR, "one-way calls are not used");
 }
 
@@ -107,21 +107,21 @@
         this->failAll("no connection in time");
     });
     const Core::ObjectPointer<GSocketClient> client(g_socket_client_new());
-    // Instances talk by IP number. Looking for a proxy would load the desktop's settings, which costs time and writes below the home folder.
+    // Instances connect by IP number. Looking up a proxy would load the desktop's settings, which takes time and writes below the home folder.
     g_socket_client_set_enable_proxy(client.get(), FALSE);
     const Core::ObjectPointer<GSocketAddress> address(
         g_inet_socket_address_new_from_string(this->options.endpoint.address.c_str(), this->options.endpoint.port));
     g_socket_client_connect_async(
-        client.get(), G_SOCKET_CONNECTABLE(address.get()), this->connecting.get(), connected, new ChannelKeepAlive(this->weak_from_this()));
+        client.get(), G_SOCKET_CONNECTABLE(address.get()), this->connecting.get(), connected, new WeakChannel(this->weak_from_this()));
 }
 
 void RpcChannel::connected(GObject *source, GAsyncResult *result, gpointer data)
 {
-    const std::unique_ptr<ChannelKeepAlive> keepAlive(static_cast<ChannelKeepAlive *>(data));
+    const std::unique_ptr<WeakChannel> channel(static_cast<WeakChannel *>(data));
     GError *rawError = nullptr;
     Core::ObjectPointer<GSocketConnection> connection(g_socket_client_connect_finish(G_SOCKET_CLIENT(source), result, &rawError));
     const Core::ErrorPointer error(rawError);
-    const auto self = keepAlive->lock();
+    const auto self = channel->lock();
     if (!self) {
         return;
     }
@@ -141,7 +141,7 @@
 {
     g_socket_set_option(g_socket_connection_get_socket(connection.get()), 6 /* IPPROTO_TCP */, 1 /* TCP_NODELAY */, 1, nullptr);
     this->stream = FrameStream::create(Core::ObjectPointer<GIOStream>(G_IO_STREAM(connection.release())), this->options.limits);
-    const ChannelKeepAlive weak = this->weak_from_this();
+    const WeakChannel weak = this->weak_from_this();
     this->stream->start(
         [weak](const std::string &frame) {
             if (const auto self = weak.lock()) {
@@ -163,7 +163,7 @@
 void RpcChannel::handleReply(const std::string &frame)
 {
     if (this->waiting.empty()) {
-        this->failAll("an answer came that nobody waits for");
+        this->failAll("received a reply without a waiting call");
         return;
     }
     const WaitingCall finished = std::move(this->waiting.front());
@@ -202,7 +202,7 @@
     }
     this->unsent.clear();
     this->timeout.cancel();
-    // An empty reply buffer makes the generated client raise an error that call() turns into a value.
+    // An empty reply buffer makes the generated client throw an exception, which call() converts into an error value.
     for (const auto &failed : std::exchange(this->waiting, {})) {
         failed.reply->resetBuffer();
         failed.callback();
--- a/Libraries/LibRpc/RpcChannel.h
+++ b/Libraries/LibRpc/RpcChannel.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The calling side of Thrift over framed TCP: connects when needed, answers
-// every call exactly once, with an error when the answer did not come in time.
+// The client side of Thrift over framed TCP. Connects when needed and ends every
+// call exactly once, with an error when the reply does not arrive in time.
 
 #pragma once
 
@@ -21,19 +21,22 @@
 namespace Rpc
 {
 
-/** Whom to call and how long to wait. */
+/** Server and timeouts of a channel. */
 struct ChannelOptions {
     Core::Endpoint endpoint;
+    /** Time from a call until its reply must have been received. */
     Core::Duration callTimeout{Core::seconds(2)};
-    /** A connection that is not up after this long is tried anew; the first packet to a machine that is just starting is lost, and is sent again only after a
-     * second. */
+    /**
+     * Time until a connection must be established. Otherwise all waiting calls fail, and the next call opens a new connection. The first packet to a machine
+     * that is just starting is lost, and the system sends it again only after a second, so a new connection is faster.
+     */
     Core::Duration connectTimeout{Core::milliseconds(300)};
     FrameLimits limits;
 };
 
 /**
- * One connection to one server. Answers come in the order of the calls, so
- * when one call times out all calls that wait on the connection fail with it.
+ * One connection to one server. Replies arrive in the order of the calls, so
+ * when one call times out, all calls that wait on the connection fail with it.
  */
 class RpcChannel : public apache::thrift::async::TAsyncChannel, public std::enable_shared_from_this<RpcChannel>
 {
@@ -51,16 +54,16 @@
     void sendAndRecvMessage(
         const VoidCallback &callback, apache::thrift::transport::TMemoryBuffer *request, apache::thrift::transport::TMemoryBuffer *reply) override;
 
-    /** Calls that wait for an answer. */
+    /** Returns the number of calls that wait for a reply. */
     [[nodiscard]] std::size_t waitingCalls() const;
 
-    /** Bytes that this channel has sent and received since it was made. */
+    /** Returns the number of bytes sent and received since the channel was created. */
     [[nodiscard]] std::uint64_t bytesMoved() const;
 
-    /** Why the last calls that failed did; empty before any has. Thrift's own error only says that no answer was there. */
+    /** Returns why calls failed most recently; empty before the first failure. Thrift's own error only says that there was no reply. */
     [[nodiscard]] const std::string &lastFailure() const;
 
-    /** Whom this channel calls. */
+    /** Returns the address of the server. */
     [[nodiscard]] const Core::Endpoint &endpoint() const;
 
 private:
@@ -82,9 +85,9 @@
     Core::TimerService &timers;
     std::shared_ptr<FrameStream> stream;
     Core::ObjectPointer<GCancellable> connecting;
-    // Frames that wait for the connection to open.
+    // Frames to be sent once the connection is established.
     std::vector<std::string> unsent;
-    // Invariant: in the order in which the requests were, or will be, written.
+    // Invariant: calls are in the order in which their requests were, or will be, written.
     std::deque<WaitingCall> waiting;
     Core::TimerSubscription timeout;
     Core::TimerSubscription connectTimer;
@@ -93,8 +96,9 @@
 };
 
 /**
- * Makes one typed call. `start` calls the client's method with the callback it
- * is given, `finish` is the client's recv_ method, `done` gets the outcome.
+ * Makes one typed call. `start` calls a method of the client and passes it the
+ * callback, `finish` calls the client's recv_ method, and `done` receives the
+ * reply or fails with Unreachable.
  */
 template<typename Client, typename Reply>
 void call(const std::shared_ptr<RpcChannel> &channel,
--- a/Libraries/LibRpc/RpcServer.cpp
+++ b/Libraries/LibRpc/RpcServer.cpp
@@ -16,8 +16,8 @@
 using apache::thrift::transport::TMemoryBuffer;
 
 RpcServer::RpcServer(ServerOptions options, Core::TimerService &timers)
-    : options(std::move(options)), service(g_socket_service_new()), sweep(timers.every(this->options.partialFrameLimit, [this](Core::Instant) {
-        this->closeStalled();
+    : options(std::move(options)), service(g_socket_service_new()), stallTimer(timers.every(this->options.partialFrameTimeout, [this](Core::Instant) {
+        this->closeStalledConnections();
     }))
 {
 }
@@ -47,7 +47,7 @@
     auto open = std::move(this->connections);
     this->connections.clear();
     for (auto &[id, connection] : open) {
-        connection.stream->close("the server stops");
+        connection.stream->close("the server is stopping");
     }
 }
 
@@ -85,7 +85,7 @@
     stream->start(
         [this, id, stillAlive](std::string frame) {
             if (!stillAlive.expired()) {
-                this->takeFrame(id, std::move(frame));
+                this->handleFrame(id, std::move(frame));
             }
         },
         [this, id, stillAlive](const std::string &) {
@@ -95,7 +95,7 @@
         });
 }
 
-void RpcServer::takeFrame(std::uint64_t id, std::string frame)
+void RpcServer::handleFrame(std::uint64_t id, std::string frame)
 {
     auto &connection = this->connections.at(id);
     if (connection.calls.size() >= this->options.maximumWaitingCalls) {
@@ -111,71 +111,71 @@
     const auto input = protocolFactory()->getProtocol(request);
     const auto output = protocolFactory()->getProtocol(reply);
     const std::weak_ptr<int> stillAlive = this->alive;
-    // NOTE: The generated processor keeps bare pointers to both protocols until it answers, so the answer owns them.
+    // NOTE: The generated processor keeps raw pointers to both protocols until it calls this function, so the function owns them.
     const auto answer = [this, id, number, reply, stillAlive, input, output](bool healthy) {
         if (!stillAlive.expired()) {
-            this->callEnded(id, number, healthy, reply->getBufferAsString());
+            this->finishCall(id, number, healthy, reply->getBufferAsString());
         }
     };
     try {
         this->options.processor->process(answer, input, output);
     } catch (const std::exception &exception) {
-        // The bytes were no Thrift call. There is no request to answer, so the connection goes.
+        // The bytes are not a Thrift call. There is no request to reply to, so the connection is closed.
         Core::logEvent(Core::LogLevel::Warning, "rpc.malformed_call", {{"server", this->options.name}, {"error", exception.what()}});
-        this->callEnded(id, number, false, {});
+        this->finishCall(id, number, false, {});
     }
 }
 
-void RpcServer::callEnded(std::uint64_t id, std::uint64_t number, bool healthy, std::string reply)
+void RpcServer::finishCall(std::uint64_t id, std::uint64_t number, bool healthy, std::string reply)
 {
     const auto found = this->connections.find(id);
     if (found == this->connections.end()) {
         return;
     }
-    // NOTE: Closing erases the connection, so the stream is kept by hand meanwhile.
+    // NOTE: Closing the stream erases the connection, so this reference keeps the stream alive.
     const auto stream = found->second.stream;
     for (auto &call : found->second.calls) {
         if (call.number == number) {
-            call.ended = true;
+            call.finished = true;
             call.reply = std::move(reply);
             break;
         }
     }
-    this->sendEnded(id);
+    this->sendFinishedReplies(id);
     if (!healthy) {
         stream->close("malformed call");
     }
 }
 
-void RpcServer::sendEnded(std::uint64_t id)
+void RpcServer::sendFinishedReplies(std::uint64_t id)
 {
-    // NOTE: Sending may close the stream, which erases the connection.
+    // NOTE: Sending may close the stream, which erases the connection, so it is looked up again each time.
     for (auto found = this->connections.find(id); found != this->connections.end(); found = this->connections.find(id)) {
         auto &connection = found->second;
-        if (connection.calls.empty() || !connection.calls.front().ended) {
+        if (connection.calls.empty() || !connection.calls.front().finished) {
             return;
         }
-        const Call ended = std::move(connection.calls.front());
+        const Call finished = std::move(connection.calls.front());
         connection.calls.pop_front();
-        if (!ended.reply.empty()) {
+        if (!finished.reply.empty()) {
             const auto stream = connection.stream;
-            stream->send(ended.reply);
+            stream->send(finished.reply);
         }
     }
 }
 
-void RpcServer::closeStalled()
+void RpcServer::closeStalledConnections()
 {
     std::vector<std::shared_ptr<FrameStream>> stalled;
     for (auto &[id, connection] : this->connections) {
         const std::uint64_t received = connection.stream->bytesReceived();
-        if (connection.stream->hasPartialFrame() && connection.stalledAt == received) {
+        if (connection.stream->hasPartialFrame() && connection.receivedAtLastCheck == received) {
             stalled.push_back(connection.stream);
         }
-        connection.stalledAt = received;
+        connection.receivedAtLastCheck = received;
     }
     for (const auto &stream : stalled) {
-        stream->close("a frame did not arrive whole in time");
+        stream->close("a partially received frame made no progress in time");
     }
 }
 
--- a/Libraries/LibRpc/RpcServer.h
+++ b/Libraries/LibRpc/RpcServer.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Serves a Thrift service over framed TCP on the GLib loop. Calls of one
-// connection run side by side, so that many of them can share one commit; their
-// answers leave in the order of the calls, as Thrift's clients expect.
+// Serves a Thrift service over framed TCP on the GLib loop. Calls on one
+// connection run concurrently, so that many of them can share one commit. Their
+// replies are sent in the order of the calls, as Thrift's clients expect.
 
 #pragma once
 
@@ -24,7 +24,7 @@
 namespace Rpc
 {
 
-/** How a server listens and what it tolerates. */
+/** Endpoint, service and limits of a server. */
 struct ServerOptions {
     /** Shown in log lines. */
     std::string name;
@@ -32,16 +32,17 @@
     std::shared_ptr<apache::thrift::async::TAsyncProcessor> processor;
     FrameLimits limits;
     /**
-     * Connections that the system holds until they are accepted. With the library's 10, hundreds of gateways that start together win one place
-     * in ten, and a first packet that is dropped is tried again only after seconds. The system cuts it to its own limit (4,096 on Linux).
+     * Number of connections that the system queues until they are accepted. With the library's default of 10, hundreds of gateways that start together
+     * get one place in ten, and a dropped first packet is sent again only after seconds. The system reduces the number to its own limit (4,096 on
+     * Linux).
      */
     int backlog{4096};
-    /** Further connections are closed at once. */
+    /** Connections beyond this number are closed at once. */
     std::size_t maximumConnections{4096};
-    /** Calls that one connection may have waiting before it is closed. */
+    /** A connection on which more calls than this wait for their replies is closed. */
     std::size_t maximumWaitingCalls{1024};
-    /** A frame has to arrive whole within about this long. */
-    Core::Duration partialFrameLimit{Core::seconds(10)};
+    /** A connection with a partially received frame is closed after this time without a received byte, at the latest after twice this time. */
+    Core::Duration partialFrameTimeout{Core::seconds(10)};
 };
 
 /** Listens from create() until destroyed. */
@@ -55,39 +56,39 @@
     RpcServer &operator=(const RpcServer &) = delete;
 
     [[nodiscard]] std::size_t connectionCount() const;
-    /** Whether no call waits and every answer has been written to the last byte. */
+    /** Whether no call waits and every reply has been written to the last byte. */
     [[nodiscard]] bool isIdle() const;
 
 private:
-    // One call that has not been answered to the client yet.
+    // A call whose reply has not been sent yet.
     struct Call {
         std::uint64_t number{0};
-        bool ended{false};
+        bool finished{false};
         std::string reply;
     };
     struct Connection {
         std::shared_ptr<FrameStream> stream;
-        // Invariant: in the order of arrival; the first one has not ended, or is being sent.
+        // Invariant: calls are in the order of arrival; the first one has not finished, or its reply is being sent.
         std::deque<Call> calls;
-        // Bytes seen at the last sweep while a frame was unfinished.
-        std::uint64_t stalledAt{0};
+        // Bytes that the stream had received at the last check for stalled connections.
+        std::uint64_t receivedAtLastCheck{0};
     };
 
     RpcServer(ServerOptions options, Core::TimerService &timers);
     static gboolean incoming(GSocketService *service, GSocketConnection *connection, GObject *source, gpointer data);
     void accept(GSocketConnection *connection);
-    void takeFrame(std::uint64_t id, std::string frame);
-    void callEnded(std::uint64_t id, std::uint64_t number, bool healthy, std::string reply);
-    void sendEnded(std::uint64_t id);
-    void closeStalled();
+    void handleFrame(std::uint64_t id, std::string frame);
+    void finishCall(std::uint64_t id, std::uint64_t number, bool healthy, std::string reply);
+    void sendFinishedReplies(std::uint64_t id);
+    void closeStalledConnections();
 
     ServerOptions options;
     Core::ObjectPointer<GSocketService> service;
     std::unordered_map<std::uint64_t, Connection> connections;
     std::uint64_t nextConnection{1};
     std::uint64_t nextCall{1};
-    Core::TimerSubscription sweep;
-    // Answers that come after the server is gone find this expired.
+    Core::TimerSubscription stallTimer;
+    // Calls that finish after the server was destroyed detect it by weak references to this object.
     std::shared_ptr<int> alive{std::make_shared<int>(0)};
 };
 
--- a/Libraries/LibRpc/Serialization.h
+++ b/Libraries/LibRpc/Serialization.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Thrift structures to bytes and back, with limits that hostile bytes cannot pass.
+// Serializes Thrift structures, and deserializes them within limits that hostile
+// bytes can't exceed.
 
 #pragma once
 
@@ -17,11 +18,11 @@
 namespace Rpc
 {
 
-/** The longest string and the largest container that a reader accepts. */
+/** The longest string and the largest container that are accepted when reading. */
 constexpr std::int32_t MaximumStringBytes = 8 * 1024 * 1024;
 constexpr std::int32_t MaximumContainerItems = 1'000'000;
 
-/** The compact protocol with the limits above. */
+/** Returns the factory of Thrift's compact protocol with the limits above. */
 [[nodiscard]] inline std::shared_ptr<apache::thrift::protocol::TProtocolFactory> protocolFactory()
 {
     static const auto factory = [] {
@@ -33,7 +34,7 @@
     return factory;
 }
 
-/** Bytes of a Thrift structure. */
+/** Returns a Thrift structure in the compact protocol. */
 template<typename Structure>
 [[nodiscard]] std::string serialize(const Structure &structure)
 {
@@ -43,7 +44,7 @@
     return buffer->getBufferAsString();
 }
 
-/** The structure that the bytes stand for. Unknown fields are skipped. Fails with Corruption. */
+/** Parses a Thrift structure from the compact protocol. Unknown fields are skipped. Fails with Corruption. */
 template<typename Structure>
 [[nodiscard]] Core::Result<Structure> deserialize(std::string_view bytes)
 {
--- a/Services/controld/main.cpp
+++ b/Services/controld/main.cpp
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The control instance: wires the data folder, the replicated log and the
-// Thrift services to one GLib loop.
+// The program of a control instance: reads its settings and connects the data
+// folder, the replicated log and the Thrift services to one GLib loop.
 
 #include <LibControl/ControlHandlers.h>
 #include <LibControl/PeerTransport.h>
@@ -18,12 +18,13 @@
 #include <algorithm>
 #include <cstdio>
 
+// How often a stopping process checks whether all responses have been written.
 static constexpr Core::Duration ResponseFlushPeriod = Core::milliseconds(10);
 
 namespace
 {
 
-/** The settings of this program, see docs/OPERATING.md. */
+/** The settings of this program. docs/OPERATING.md describes them. */
 struct ControldSettings {
     std::string name;
     std::string zone;
@@ -47,15 +48,20 @@
     settings.addText({.name = "name", .valueName = "NAME", .help = "Name of this control instance.", .required = true}, values.name);
     settings.addText({.name = "zone", .valueName = "ZONE", .help = "Availability zone of this instance.", .defaultValue = "default"}, values.zone);
     settings.addText({.name = "data-folder", .valueName = "PATH", .help = "The folder for this instance's own state.", .required = true}, values.dataFolder);
-    settings.addEndpoint({.name = "operator-listen", .valueName = "IP:PORT", .help = "Where operators call.", .required = true}, values.operatorListen);
-    settings.addEndpoint({.name = "entry-listen", .valueName = "IP:PORT", .help = "Where entry instances call.", .required = true}, values.entryListen);
-    settings.addEndpoint({.name = "peer-listen", .valueName = "IP:PORT", .help = "Where other control instances call.", .required = true}, values.peerListen);
+    settings.addEndpoint(
+        {.name = "operator-listen", .valueName = "IP:PORT", .help = "Where requests of operators are accepted.", .required = true}, values.operatorListen);
+    settings.addEndpoint(
+        {.name = "entry-listen", .valueName = "IP:PORT", .help = "Where requests of entry instances are accepted.", .required = true}, values.entryListen);
+    settings.addEndpoint({.name = "peer-listen", .valueName = "IP:PORT", .help = "Where requests of other control instances are accepted.", .required = true},
+        values.peerListen);
     settings.addInteger({.name = "heartbeat-ms", .valueName = "N", .help = "Period of the leader's heartbeat.", .defaultValue = "100"},
         values.heartbeatMilliseconds,
         10,
         10'000);
-    settings.addInteger(
-        {.name = "election-timeout-ms", .valueName = "N", .help = "Silence of the leader after which another may stand.", .defaultValue = "500"},
+    settings.addInteger({.name = "election-timeout-ms",
+                            .valueName = "N",
+                            .help = "Time without a message from the leader after which another instance may start an election.",
+                            .defaultValue = "500"},
         values.electionTimeoutMilliseconds,
         50,
         60'000);
@@ -64,7 +70,8 @@
         values.configurationLeaseMilliseconds,
         500,
         15'000);
-    settings.addInteger({.name = "replace-after-s", .valueName = "N", .help = "Silence after which a voter is replaced by a standby.", .defaultValue = "60"},
+    settings.addInteger(
+        {.name = "replace-after-s", .valueName = "N", .help = "Time without contact after which a voter is replaced by a standby.", .defaultValue = "60"},
         values.replaceAfterSeconds,
         1,
         86'400);
@@ -125,12 +132,12 @@
     const auto operators = std::make_shared<Protocol::OperatorAsyncProcessor>(operatorHandler);
     const auto entries = std::make_shared<Protocol::EntryControlAsyncProcessor>(std::make_shared<Control::EntryControlHandler>(control));
     const auto peers = std::make_shared<Protocol::ControlPeerAsyncProcessor>(std::make_shared<Control::ControlPeerHandler>(control));
-    std::vector<Rpc::ServerOptions> wanted;
-    wanted.push_back({.name = "operator", .endpoint = values.operatorListen, .processor = operators, .limits = {}});
-    wanted.push_back({.name = "entry", .endpoint = values.entryListen, .processor = entries, .limits = {}});
-    wanted.push_back({.name = "peer", .endpoint = values.peerListen, .processor = peers, .limits = {}});
+    std::vector<Rpc::ServerOptions> serverOptions;
+    serverOptions.push_back({.name = "operator", .endpoint = values.operatorListen, .processor = operators, .limits = {}});
+    serverOptions.push_back({.name = "entry", .endpoint = values.entryListen, .processor = entries, .limits = {}});
+    serverOptions.push_back({.name = "peer", .endpoint = values.peerListen, .processor = peers, .limits = {}});
     std::vector<std::unique_ptr<Rpc::RpcServer>> servers;
-    for (auto &options : wanted) {
+    for (auto &options : serverOptions) {
         auto server = Rpc::RpcServer::create(std::move(options), timers);
         if (!server.has_value()) {
             return tl::make_unexpected(server.error());
@@ -141,7 +148,7 @@
     Core::TimerSubscription flushTimer;
     daemon.onStop([&control, &daemon, &servers, &flushTimer] {
         control.drain([&daemon, &servers, &flushTimer] {
-            // Every answer is given, but its last bytes may still be on their way out.
+            // All responses have been produced, but their last bytes may not have been written yet.
             flushTimer = daemon.timers().every(ResponseFlushPeriod, [&daemon, &servers](Core::Instant) {
                 const bool written = std::all_of(servers.begin(), servers.end(), [](const auto &server) {
                     return server->isIdle();
--- a/Services/entryd/main.cpp
+++ b/Services/entryd/main.cpp
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The entry instance: wires the entry node to its listeners on one GLib loop.
+// The program of an entry instance: reads its settings and connects the entry node
+// to its listeners on one GLib loop.
 
 #include <LibCore/Daemon.h>
 #include <LibCore/Identity.h>
@@ -16,12 +17,13 @@
 #include <algorithm>
 #include <cstdio>
 
+// How often a stopping process checks whether all responses have been written.
 static constexpr Core::Duration ResponseFlushPeriod = Core::milliseconds(10);
 
 namespace
 {
 
-/** The settings of this program, see docs/OPERATING.md. */
+/** The settings of this program. docs/OPERATING.md describes them. */
 struct EntrydSettings {
     std::string name;
     std::string zone;
@@ -44,15 +46,19 @@
 {
     settings.addText({.name = "name", .valueName = "NAME", .help = "Name of this entry instance.", .required = true}, values.name);
     settings.addText({.name = "zone", .valueName = "ZONE", .help = "Availability zone of this instance.", .defaultValue = "default"}, values.zone);
-    settings.addEndpoint({.name = "caller-listen", .valueName = "IP:PORT", .help = "Where callers come.", .required = true}, values.callerListen);
+    settings.addEndpoint(
+        {.name = "caller-listen", .valueName = "IP:PORT", .help = "Where requests of callers are accepted.", .required = true}, values.callerListen);
     settings.addEndpoint(
         {.name = "backend-listen", .valueName = "IP:PORT", .help = "Where backend servers announce themselves.", .required = true}, values.backendListen);
-    settings.addEndpoint({.name = "admin-listen", .valueName = "IP:PORT", .help = "Health, metrics and state.", .required = true}, values.administrationListen);
-    settings.addEndpoint({.name = "peer-listen", .valueName = "IP:PORT", .help = "Where other entry instances call.", .required = true}, values.peerListen);
+    settings.addEndpoint(
+        {.name = "admin-listen", .valueName = "IP:PORT", .help = "Where health, metrics and state are served.", .required = true}, values.administrationListen);
+    settings.addEndpoint(
+        {.name = "peer-listen", .valueName = "IP:PORT", .help = "Where requests of other entry instances are accepted.", .required = true}, values.peerListen);
     settings.addEndpoints(
         {.name = "control", .valueName = "IP:PORT,…", .help = "Entry ports of some control instances.", .required = true}, values.controlInstances);
     settings.addEndpoints({.name = "peers", .valueName = "IP:PORT,…", .help = "Peer ports of the other entry instances."}, values.peers);
-    settings.addInteger({.name = "drain-notice-ms", .valueName = "N", .help = "How long a stop waits for the balancer to notice.", .defaultValue = "1000"},
+    settings.addInteger(
+        {.name = "drain-notice-ms", .valueName = "N", .help = "How long a stop waits for the load balancer to notice it.", .defaultValue = "1000"},
         values.drainNoticeMilliseconds,
         0,
         600'000);
@@ -96,18 +102,18 @@
     auto &timers = daemon.timers();
     Entry::EntryNode node(makeNodeOptions(values), timers);
 
-    std::vector<Http::ServerOptions> wanted;
-    wanted.push_back({.name = "caller", .endpoint = values.callerListen, .handler = [&node](const auto &request, const auto &responder) {
-                          node.handleCaller(request, responder);
-                      }});
-    wanted.push_back({.name = "backend", .endpoint = values.backendListen, .handler = [&node](const auto &request, const auto &responder) {
-                          node.handleBackend(request, responder);
-                      }});
-    wanted.push_back({.name = "administration", .endpoint = values.administrationListen, .handler = [&node](const auto &request, const auto &responder) {
-                          node.handleAdministration(request, responder);
-                      }});
+    std::vector<Http::ServerOptions> serverOptions;
+    serverOptions.push_back({.name = "caller", .endpoint = values.callerListen, .handler = [&node](const auto &request, const auto &responder) {
+                                 node.handleCaller(request, responder);
+                             }});
+    serverOptions.push_back({.name = "backend", .endpoint = values.backendListen, .handler = [&node](const auto &request, const auto &responder) {
+                                 node.handleBackend(request, responder);
+                             }});
+    serverOptions.push_back({.name = "administration", .endpoint = values.administrationListen, .handler = [&node](const auto &request, const auto &responder) {
+                                 node.handleAdministration(request, responder);
+                             }});
     std::vector<std::unique_ptr<Http::HttpServer>> servers;
-    for (auto &options : wanted) {
+    for (auto &options : serverOptions) {
         auto server = Http::HttpServer::create(std::move(options), timers);
         if (!server.has_value()) {
             return tl::make_unexpected(server.error());
@@ -126,7 +132,7 @@
     Core::TimerSubscription flushTimer;
     daemon.onStop([&node, &daemon, &servers, &flushTimer] {
         node.drain([&daemon, &servers, &flushTimer] {
-            // Every answer is given, but its last bytes may still be on their way out.
+            // All responses have been produced, but their last bytes may not have been written yet.
             flushTimer = daemon.timers().every(ResponseFlushPeriod, [&daemon, &servers](Core::Instant) {
                 const bool written = std::all_of(servers.begin(), servers.end(), [](const auto &server) {
                     return server->requestsInFlight() == 0;
@@ -149,7 +155,7 @@
 int main(int argumentCount, char **arguments)
 {
     EntrydSettings values;
-    Core::Settings settings("entryd", "an entry instance of crankrudder: answers callers out of many shards");
+    Core::Settings settings("entryd", "an entry instance of crankrudder: answers callers' requests from many shards");
     declareSettings(settings, values);
     return Core::runProgram(settings, argumentCount, arguments, values.logLevel, [&values] {
         return run(values);
--- a/Tests/LibRpc/TestBacklog.cpp
+++ b/Tests/LibRpc/TestBacklog.cpp
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The load pattern: all gateways start at the same moment and connect to the same
-// coordinator while it is busy. A connection that finds no place in the queue is
-// dropped in silence and tried again seconds later.
+// Guards against lost connections when all gateways start at the same time and
+// connect to one busy coordinator. The system silently drops a connection that does
+// not fit into the queue, and the gateway's system tries again only seconds later.
 
 #include <LibRpc/RpcServer.h>
 #include <LibWire/Socket.h>
@@ -17,20 +17,20 @@
 namespace
 {
 
-// More than the library's queue of 10, fewer than any system's limit.
+// More than the library's default queue length of 10, fewer than any system's limit.
 constexpr int Gateways = 100;
-// Connections on loopback are up at once, or wait for a place for a second at least.
-constexpr int PatienceMilliseconds = 500;
+// Connections on loopback are established at once, or wait at least one second for a place in the queue.
+constexpr int ConnectTimeoutMilliseconds = 500;
 
 bool isConnected(const Wire::Socket &socket)
 {
     pollfd descriptor{.fd = socket.number(), .events = POLLOUT, .revents = 0};
-    return poll(&descriptor, 1, PatienceMilliseconds) == 1 && (descriptor.revents & POLLOUT) != 0;
+    return poll(&descriptor, 1, ConnectTimeoutMilliseconds) == 1 && (descriptor.revents & POLLOUT) != 0;
 }
 
 }
 
-Test(RpcServer, holdsConnectionsOfAllGatewaysUntilItAcceptsThem)
+Test(RpcServer, queuesConnectionsOfAllGatewaysUntilTheyAreAccepted)
 {
     TestSupport::LoopFixture fixture;
     const auto endpoint = TestSupport::freeEndpoint();
@@ -39,6 +39,6 @@
     std::vector<Wire::Socket> gateways;
     for (int number = 0; number < Gateways; ++number) {
         gateways.push_back(Wire::Socket::connectTo(endpoint, Core::seconds(5)).value());
-        cr_assert(isConnected(gateways.back()), "gateway %d found no place", number);
+        cr_assert(isConnected(gateways.back()), "gateway %d got no place in the queue", number);
     }
 }
--- a/Tests/LibRpc/TestHostileInput.cpp
+++ b/Tests/LibRpc/TestHostileInput.cpp
@@ -1,5 +1,5 @@
-// Bytes that are no call, too long, too slow or half: every port stays open
-// for others and answers with an error or a closed connection.
+// Sends bytes that are no call, too long or incomplete. The server must answer
+// with an error or close the connection, and keep serving other connections.
 
 #include <LibControl/ControlHandlers.h>
 #include <LibCore/Daemon.h>
@@ -17,7 +17,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-// Tests run side by side, so each asks the kernel for a port that is free.
+// Tests run concurrently, so each one gets a free port from the kernel.
 static std::uint16_t freePort()
 {
     return TestSupport::freeEndpoint().port;
@@ -26,7 +26,7 @@
 namespace
 {
 
-/** A control node behind a real listener on a real loop. */
+/** A control node that serves operators on a real socket and a real loop. */
 class Server
 {
 public:
@@ -49,7 +49,7 @@
         this->rpc = std::move(server.value());
     }
 
-    void turn(int rounds = 50)
+    void runLoop(int rounds = 50)
     {
         for (int round = 0; round < rounds; ++round) {
             g_main_context_iteration(nullptr, FALSE);
@@ -57,8 +57,8 @@
         }
     }
 
-    /** Whether a well-formed call is still answered. */
-    bool answers()
+    /** Whether the server still answers a valid call. */
+    bool answersCalls()
     {
         const auto channel = Rpc::RpcChannel::create({.endpoint = {.address = "127.0.0.1", .port = this->port}, .limits = {}}, this->daemon.timers());
         bool answered = false;
@@ -74,7 +74,7 @@
                 answered = reply.has_value();
             });
         for (int round = 0; round < 20 && !answered; ++round) {
-            this->turn();
+            this->runLoop();
         }
         return answered;
     }
@@ -100,7 +100,7 @@
     return descriptor;
 }
 
-Test(RpcServer, outlivesBytesThatAreNoCalls)
+Test(RpcServer, keepsServingAfterRandomBytes)
 {
     Server server;
     std::mt19937 random(1);
@@ -111,34 +111,34 @@
             byte = static_cast<char>(random());
         }
         if (round % 2 == 0 && bytes.size() >= 4) {
-            // A frame of the right length with a senseless content.
+            // A frame with the right length and random content.
             bytes[0] = bytes[1] = 0;
             bytes[2] = static_cast<char>((bytes.size() - 4) >> 8U);
             bytes[3] = static_cast<char>(bytes.size() - 4);
         }
         static_cast<void>(write(descriptor, bytes.data(), bytes.size()));
-        server.turn(3);
+        server.runLoop(3);
         close(descriptor);
     }
-    cr_expect(server.answers());
-    server.turn();
+    cr_expect(server.answersCalls());
+    server.runLoop();
     cr_expect_leq(server.rpc->connectionCount(), 1U);
 }
 
-Test(RpcServer, closesWhoSendsAFrameOverTheLimit)
+Test(RpcServer, closesConnectionsThatSendAFrameOverTheLimit)
 {
     Server server;
     const int descriptor = connectTo(server.port);
     const unsigned char header[] = {0x7f, 0xff, 0xff, 0xff};
     cr_assert_eq(write(descriptor, header, sizeof(header)), 4);
-    server.turn();
+    server.runLoop();
     char byte = 0;
     cr_expect_eq(read(descriptor, &byte, 1), 0, "the connection is closed");
     close(descriptor);
-    cr_expect(server.answers());
+    cr_expect(server.answersCalls());
 }
 
-Test(RpcChannel, answersEveryCallWhenNobodyListens)
+Test(RpcChannel, failsEveryCallWhenNoServerListens)
 {
     Core::Daemon daemon("test");
     const auto channel = Rpc::RpcChannel::create({.endpoint = {.address = "127.0.0.1", .port = 1}, .limits = {}}, daemon.timers());
@@ -181,7 +181,7 @@
     return answer;
 }
 
-Test(HttpServer, answersHostileRequestsWithErrorsAndGoesOn)
+Test(HttpServer, rejectsOversizedRequestsAndKeepsServingAfterMalformedOnes)
 {
     Core::Daemon daemon("test");
     const std::uint16_t port = freePort();
--- a/Tests/LibRpc/TestRpcChannel.cpp
+++ b/Tests/LibRpc/TestRpcChannel.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Connections between our processes that don't come up.
+// Tests calls whose connection can't be established.
 
 #include <LibProtocol/Generated/Coordinator.h>
 #include <LibRpc/RpcChannel.h>
@@ -12,10 +12,10 @@
 #include <criterion/criterion.h>
 #include <vector>
 
-Test(RpcChannel, triesAConnectionAnewThatDoesNotComeUp)
+Test(RpcChannel, failsCallsWhenTheConnectionIsNotEstablishedInTime)
 {
     TestSupport::LoopFixture fixture;
-    // A listener whose queue is full drops the first packet, as the machine of a process that is about to start does.
+    // A listener with a full queue drops the first packet. A machine that is just starting does the same.
     const auto endpoint = TestSupport::freeEndpoint();
     const auto listener = Wire::Socket::listenOn(endpoint, 0).value();
     std::vector<Wire::Socket> queue;
@@ -40,7 +40,7 @@
     cr_assert(fixture.runUntil([&answered] {
         return answered.has_value();
     }),
-        "long before the call's own limit");
+        "the call fails long before its own timeout");
     cr_assert(answered == false);
     cr_assert(channel->lastFailure() == "no connection in time", "%s", channel->lastFailure().c_str());
 }
--- a/Tests/LibRpc/TestSlowReader.cpp
+++ b/Tests/LibRpc/TestSlowReader.cpp
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A caller that asks more than it reads, as one does whose process stands still.
+// Guards against unbounded memory for replies to a client that does not read them, for
+// example because its process is suspended.
 
 #include <LibProtocol/Generated/Coordinator.h>
 #include <LibRpc/RpcChannel.h>
@@ -15,7 +16,7 @@
 namespace
 {
 
-/** Holds each question until a test answers it. */
+/** Holds each watch request until the test answers it. */
 class HoldingHandler : public Protocol::CoordinatorCobSvIf
 {
 public:
@@ -36,7 +37,7 @@
 
 }
 
-Test(RpcServer, endsAConnectionOnWhichMoreRepliesWaitThanItQueues)
+Test(RpcServer, closesConnectionsWhoseQueuedRepliesExceedTheLimit)
 {
     static constexpr std::size_t Calls = 5;
     static constexpr std::size_t ReplyBytes = 100'000;
@@ -69,7 +70,7 @@
     }));
     Protocol::WatchReply reply;
     reply.__set_declaration(std::string(ReplyBytes, 'x'));
-    // The first one last, so that all leave with it, before the caller has read any.
+    // The first call is answered last. Replies keep the order of the calls, so all are sent at once, before the client has read any.
     for (auto answer = handler->held.rbegin(); answer != handler->held.rend(); ++answer) {
         (*answer)(reply);
     }
