--- a/Libraries/LibProtocol/control.thrift
+++ b/Libraries/LibProtocol/control.thrift
@@ -1,19 +1,19 @@
 /*
- * The interfaces between the system's own processes: entry instances with
- * control instances, and control instances with each other.
+ * The interfaces between the system's own processes: from entry instances to
+ * control instances, and among control instances.
  */
 include "operator.thrift"
 namespace cpp Protocol
 
 struct FollowRequest {
   1: string entryName,
-  /** Differs at each start of the process. */
+  /** Identifies one run of the process. */
   2: i64 incarnation,
-  /** The revision that the entry instance has in force. */
+  /** The revision that is active at the entry instance. */
   3: i64 revision,
 }
 
-/** What turns one revision's configuration into a later one's. */
+/** The difference between the configuration of one revision and that of a later one. */
 struct ConfigurationDelta {
   1: i64 fromRevision,
   2: list<operator.UrgencyClass> changedClasses,
@@ -24,31 +24,31 @@
 }
 
 struct FollowReply {
-  /** When false, nothing below may be used but leaderAddress. */
+  /** When false, only leaderAddress may be used. */
   1: bool confirmed,
   2: i64 revision,
-  /** The whole configuration, when the asker's revision is too far behind for a delta. */
+  /** The whole configuration; set when the requester's revision is too old for a delta. */
   3: optional operator.Configuration configuration,
-  /** The way from the asker's revision. Neither is there when the asker is up to date. */
+  /** The delta from the requester's revision. Neither this nor configuration is set when the requester is up to date. */
   6: optional ConfigurationDelta delta,
   4: string leaderAddress,
-  /** How long, from the sending of the request, the revision may be relied on. */
+  /** Time, counted from the sending of the request, during which the revision may be relied on. */
   5: i32 leaseMilliseconds,
 }
 
 enum ClaimStatus {
-  /** The caller of this procedure, and nobody else, may send the action. */
+  /** Only the caller of this procedure may send the action. */
   GRANTED = 1,
   IN_PROGRESS = 2,
   COMPLETED = 3,
-  /** An earlier attempt ended without a known outcome. It is not run again. */
+  /** An earlier attempt ended without a known outcome. The action is not executed again. */
   OUTCOME_UNKNOWN = 4,
   /** The key belongs to another request. */
   KEY_REUSED = 5,
   /** The key is older than the records that are kept. */
   KEY_EXPIRED = 6,
   NOT_LEADER = 7,
-  /** No quorum answered in time. The claim may or may not hold. */
+  /** No quorum replied in time. The claim may or may not have been recorded. */
   UNAVAILABLE = 8,
   /** The key's embedded time is too far in the future. */
   KEY_FROM_FUTURE = 9,
@@ -66,7 +66,7 @@
   /** SHA-256 over service, action and body. */
   2: string requestDigest,
   3: string entryName,
-  /** After this long without an outcome, the outcome counts as unknown. */
+  /** Once this time has passed without an outcome, the outcome counts as unknown. */
   4: i32 executionLimitMilliseconds,
   /** Unique to this attempt, so that a resent claim finds its own grant. */
   5: string attemptId,
@@ -89,7 +89,7 @@
 struct SettleRequest {
   1: string key,
   2: string attemptId,
-  /** Absent: the action provably did not run and the claim is released. */
+  /** When absent, the action was provably not executed, and the claim is released. */
   3: optional ActionOutcome outcome,
 }
 
@@ -109,7 +109,7 @@
   2: i64 term,
   /** A serialised Command; empty for the entry that opens a term. */
   3: binary command,
-  /** When set, the members from this entry on. */
+  /** When set, the members of the log from this entry on. */
   4: optional operator.Membership membership,
 }
 
@@ -122,11 +122,11 @@
   APPEND_REPLY = 6,
   SNAPSHOT_REQUEST = 7,
   SNAPSHOT_REPLY = 8,
-  /** A leader that stops asks a follower to stand at once. */
+  /** A leader that stops asks a follower to start an election at once. */
   LEADERSHIP_TRANSFER = 9,
-  /** A follower asks from which index on what it has applied is current. */
+  /** A follower requests the index up to which it must have applied the log for its state to be current. */
   READ_INDEX_REQUEST = 10,
-  /** A quorum took the leader for the leader after it was asked; the answer is its commit index. */
+  /** Carries the leader's commit index, sent after a quorum has confirmed its leadership since the request. */
   READ_INDEX_REPLY = 11,
 }
 
@@ -135,7 +135,7 @@
   1: MessageKind kind,
   2: string sender,
   3: i64 term,
-  /** Requests: the entry before the first one carried, or the last one held. */
+  /** Requests: the index before the first entry in the message, or the sender's last index. */
   4: i64 previousIndex,
   5: i64 previousTerm,
   6: list<LogEntry> entries,
@@ -144,13 +144,13 @@
   8: bool granted,
   /** Append replies: the highest index known to match, or a hint where to resume. */
   9: i64 matchIndex,
-  /** Counts the leader's rounds, so that a reply proves leadership at that round. Of read indexes: counts the asker's questions. */
+  /** Number of the leader's round, so that a reply proves leadership at that round. In read index messages: number of the follower's request. */
   10: i64 round,
   /** Snapshot requests: one piece of the snapshot. */
   11: optional binary piece,
   12: i64 pieceOffset,
   13: bool lastPiece,
-  /** Identifies the sender's data folder; one that was lost does not get its old vote back. */
+  /** Identifies the sender's data folder. A member that lost its folder gets a new id, so it does not get its old vote back. */
   14: string storageId,
   /** Snapshot requests: the members at the snapshot. */
   15: optional operator.Membership membership,
@@ -158,12 +158,12 @@
   16: string receiverStorageId,
   /** Where replies go, since a new learner does not know the members yet. */
   17: string senderAddress,
-  /** Vote requests: the leader itself asked for this election. */
+  /** Vote requests: the leader itself requested this election. */
   18: bool transfer,
 }
 
 service ControlPeer {
-  /** Messages may be lost, doubled or reordered; the reply only acknowledges receipt. */
+  /** Messages may be lost, duplicated or reordered. The reply only acknowledges receipt. */
   void deliver(1: list<LogMessage> messages),
 }
 
@@ -175,9 +175,9 @@
   5: optional i64 rollbackTo,
 }
 
-/** What the replicated log carries. Exactly one of the optional fields is set. */
+/** A command in the replicated log. Exactly one of the optional fields is set. */
 struct Command {
-  /** The leader's wall clock, made never to go back within the log. */
+  /** The leader's wall clock, adjusted so that it never decreases within the log. */
   1: i64 timeMilliseconds,
   2: optional ConfigurationChange change,
   3: optional ClaimRequest claim,
@@ -189,7 +189,7 @@
   2: ConfigurationChange change,
   3: i64 acceptedAtMilliseconds,
   4: list<string> differences,
-  /** Old changes keep their line in the history, but not their content. */
+  /** False for old changes, which stay in the history without their content. */
   5: bool contentKept = true,
 }
 
@@ -211,7 +211,7 @@
 /** One record of the write-ahead log. Exactly one field is set. */
 struct StorageRecord {
   1: optional LogEntry entry,
-  /** All entries from this index on are void. */
+  /** All entries from this index on are invalid. */
   2: optional i64 truncateFrom,
   3: optional i64 term,
   4: optional string votedFor,
--- a/Libraries/LibProtocol/entry.thrift
+++ b/Libraries/LibProtocol/entry.thrift
@@ -1,6 +1,6 @@
 /*
- * The interface between entry instances: what backend servers announced to
- * one of them spreads to the others.
+ * The interface between entry instances, by which they relay the announcements
+ * of backend servers to each other.
  */
 namespace cpp Protocol
 
@@ -14,7 +14,7 @@
 /** One index snapshot that a backend server holds. */
 struct SnapshotHolding {
   1: i64 version,
-  /** Names the partitioning: equal digests mean equal shard boundaries. */
+  /** Digest of the partitioning: equal digests mean equal shard boundaries. */
   2: string shardMap,
   3: i32 shardCount,
   4: i32 shard,
@@ -23,9 +23,9 @@
 struct Announcement {
   1: string serviceName,
   2: string replicaName,
-  /** Grows at each start of the backend server. */
+  /** Increases at each start of the backend server. */
   3: i64 incarnation,
-  /** Grows at each announcement within one incarnation. */
+  /** Increases with each announcement within one incarnation. */
   4: i64 sequence,
   5: string address,
   6: i32 port,
@@ -38,7 +38,7 @@
   12: i32 load,
 }
 
-/** An announcement with its age, since clocks of two instances are not compared. */
+/** An announcement with its age. It carries no time, because the clocks of two instances are not compared. */
 struct RelayedAnnouncement {
   1: Announcement announcement,
   2: i32 ageMilliseconds,
@@ -47,13 +47,13 @@
 struct RelayRequest {
   1: string entryName,
   2: list<RelayedAnnouncement> announcements,
-  /** Asks for the receiver's whole table, as a fresh process does. */
+  /** Requests the receiver's whole table; set by a process that has just started. */
   3: bool wantsAll,
 }
 
 struct RelayReply {
   1: list<RelayedAnnouncement> announcements,
-  /** The list is the whole table of an instance that has been in touch for a lease at least. */
+  /** The list is the whole table of an instance that has been in contact for at least one lease. */
   2: bool complete,
 }
 
--- a/Libraries/LibProtocol/fleet.thrift
+++ b/Libraries/LibProtocol/fleet.thrift
@@ -1,24 +1,24 @@
 /*
- * What coordinators and gateways tell each other: which backend servers are
- * there, and which declaration is in force.
+ * The interface between coordinators and gateways, and among coordinators: the
+ * registry of backend servers and gateways, and the active declaration.
  */
 include "operator.thrift"
 namespace cpp Protocol
 
-/** Phases only ever go forward within one life of a backend server, but for silence, which a later heartbeat ends. */
+/** Within one incarnation of a backend server its phase only moves forward, except for SILENT, which the next heartbeat ends. */
 enum BackendPhase {
-  /** Made no heartbeat for long; takes no new work until it does. */
+  /** No heartbeat was received within the heartbeat timeout. Gets no new work until the next heartbeat. */
   SILENT = 0,
   READY = 1,
-  /** Takes no new work. */
+  /** Finishes its work and takes no new work. */
   DRAINING = 2,
-  /** Has said that it ends, or was found gone. */
+  /** Has deregistered, or was found to have ended. */
   GONE = 3,
 }
 
-/** What a backend server said of itself in its latest heartbeat. */
+/** The contents of a backend server's latest heartbeat. */
 struct BackendAnnouncement {
-  /** Names a backend server. One that starts again may keep it. */
+  /** Identifies a backend server. A restarted server may keep its id. */
   1: string id,
   2: string serviceName,
   /** IP:port. */
@@ -26,69 +26,69 @@
   4: string zone,
   5: i32 slots,
   6: BackendPhase phase,
-  /** How long it still runs slowly after its start, from when this is sent. */
+  /** Time until the server's warm-up ends, in milliseconds from the sending of this message. */
   7: i32 warmupLeftMs,
-  /** Grows with each heartbeat of one life. */
+  /** Increases with each heartbeat of one incarnation. */
   8: i64 sequence,
-  /** Unix milliseconds of its start, which tell its lives apart; 0 on platforms that do not say it. */
+  /** Start time in Unix milliseconds, which identifies the incarnation; 0 on platforms that do not send it. */
   9: i64 born = 0,
 }
 
-/** Bytes of their own, then a part of the earlier text. */
+/** A piece of the later text: literal bytes, then a range copied from the earlier text. */
 struct TextPiece {
   1: binary literal,
   2: i64 copyFrom,
   3: i64 copyLength,
 }
 
-/** What turns one text into a later one. */
+/** A delta that converts one text into a later one. */
 struct TextDelta {
-  /** Of the later text, to know that the outcome is right. */
+  /** Length and checksum of the later text, to verify the result. */
   1: i64 length,
   2: i64 checksum,
   3: list<TextPiece> pieces,
 }
 
-/** Which changes of backend servers and gateways a watcher wants from one coordinator. */
+/** Which changes of backend servers and gateways a watcher requests from one coordinator. */
 enum RegistryInterest {
-  /** It only waits for a confirmation. */
+  /** No changes: the watcher only waits for a confirmation. */
   NOTHING = 0,
-  /** Of those that leave: another coordinator tells it everything, and this one is there so that no leaver is missed. */
+  /** Departures only: another coordinator sends the watcher all changes, and this one makes sure that no departure is missed. */
   LEAVERS = 1,
   EVERYTHING = 2,
 }
 
-/** The availability zones whose backend servers get nothing, by operators' orders. */
+/** The availability zones whose backend servers get no requests, by operators' orders. */
 struct Evacuations {
-  /** Grows with each change; 0 before the first one. */
+  /** Increases with each change; 0 before the first one. */
   1: i64 revision = 0,
   2: list<string> zones,
 }
 
 struct WatchRequest {
   1: string watcherName,
-  /** Which life of the coordinator the cursors belong to; 0 at first. */
+  /** The incarnation of the coordinator that the cursors belong to; 0 in the first request. */
   2: i64 coordinatorIncarnation,
-  /** Changes of backend servers up to here are known. */
+  /** The watcher knows the changes of backend servers up to this position. */
   3: i64 cursor,
-  /** Changes of gateways up to here are known. */
+  /** The watcher knows the changes of gateways up to this position. */
   4: i64 gatewayCursor,
-  /** The newest declaration that the watcher holds or has heard of; -1 for none. */
+  /** The newest version of the declaration that the watcher holds or knows to exist; -1 for none. */
   5: i64 declarationVersion,
-  /** A newer declaration's text is wanted, not only its version. One coordinator sends it to a gateway, not all. */
+  /** The watcher requests the text of a newer declaration, not only its version. A gateway requests it from only one coordinator. */
   6: bool wantsDeclaration,
-  /** The answer has to be current as of now, confirmed by a quorum. */
+  /** The reply must be current as of this request, confirmed by a quorum. */
   7: bool confirm,
-  /** There when the watcher is a gateway that takes requests; its service name is empty. */
+  /** The watcher's own announcement; set when it is a gateway that serves requests. Its service name is empty. */
   8: optional BackendAnnouncement gateway,
-  /** The watcher is a coordinator and wants to know whose heartbeats came here. */
+  /** The watcher is a coordinator and requests the ids whose heartbeats this coordinator received. */
   9: bool wantsHeard,
   10: RegistryInterest registryInterest = RegistryInterest.EVERYTHING,
-  /** The newest revision of the evacuations that the watcher holds; the largest number of one that wants none. */
+  /** The newest revision of the evacuations that the watcher holds; the largest number when it requests none. */
   11: i64 evacuationRevision = 0,
 }
 
-/** Where a coordinator can be watched. */
+/** The address at which a coordinator serves watch requests, and its zone. */
 struct CoordinatorPlace {
   /** IP:port. */
   1: string address,
@@ -102,26 +102,26 @@
   4: i64 gatewayCursor,
   5: list<BackendAnnouncement> changedGateways,
   6: i64 declarationVersion,
-  /** The whole text, compressed; there when it was wanted and the watcher's version is older, unless the delta is. */
+  /** The whole text, compressed. Set when it was requested, the watcher's version is older, and no delta is sent. */
   7: optional binary declaration,
   /** A TextDelta from the version that the request named. */
   12: optional binary declarationDelta,
-  /** Version and evacuations were the newest when the question was asked. */
+  /** Version and evacuations were the newest ones when the request was sent. */
   8: bool confirmed,
   9: list<CoordinatorPlace> coordinators,
-  /** Ids of backend servers and gateways that called this coordinator since its last answer to the watcher. */
+  /** Ids of backend servers and gateways from which this coordinator received a heartbeat since its last reply to the watcher. */
   10: list<string> heard,
-  /** Whether this coordinator hears from a leader, so that news of declarations reach it. */
+  /** Whether this coordinator has a known leader, so that it receives updates of the declaration. */
   11: bool hasLeader,
-  /** There when the watcher's revision is older. */
+  /** Set when the watcher's revision is older. */
   13: optional Evacuations evacuations,
 }
 
 struct Introduction {
   1: operator.Member member,
-  /** Belongs to a log already. */
+  /** Whether the coordinator is already part of a log. */
   2: bool initialised,
-  /** The whole system starts for the first time, so a log may be founded. */
+  /** Whether the whole system starts for the first time, so that a log may be bootstrapped. */
   3: bool mayFound,
 }
 
@@ -133,9 +133,9 @@
 }
 
 service Coordinator {
-  /** Answers when there is news, at the latest after a second or so. */
+  /** Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second. */
   WatchReply watch(1: WatchRequest request),
-  /** Tells who is there, and asks the leader to take the asker in. */
+  /** Returns the known members, and asks the leader to add the sender as a member. */
   IntroductionReply introduce(1: Introduction introduction),
 }
 
@@ -145,15 +145,15 @@
   2: bool evacuate,
 }
 
-/** An entry of the coordinators' log: the declaration as the operator sent it, compressed, or an order on a zone. */
+/** An entry of the coordinators' log: the declaration as the operator sent it, compressed, or an order for a zone. */
 struct StoredOrder {
-  /** -1 where there is no declaration. */
+  /** -1 when the entry holds no declaration. */
   1: i64 version = -1,
   2: binary compressed,
   3: optional EvacuationOrder evacuation,
 }
 
-/** What the coordinators' snapshots hold: all that the entries before came to. */
+/** The contents of the coordinators' snapshots: the state that results from all earlier entries. */
 struct StoredState {
   /** -1 before the first declaration. */
   1: i64 version = -1,
@@ -161,24 +161,24 @@
   3: Evacuations evacuations,
 }
 
-/** A shard that a gateway was asked for and has no answer of. */
+/** A requested shard for which the serving gateway has no answer. */
 struct MissingShard {
   1: string serviceName,
-  /** Backend servers at which the request may have run. */
+  /** Number of backend servers that may have executed the request. */
   2: i32 executions,
-  /** Requests that may have reached a backend server, whether or not they ran; any more are repeats. */
+  /** Number of sends that may have reached a backend server, whether or not they were executed. Further sends are repeats. */
   3: i32 sends,
-  /** The request counts in the budget of the shard's service already, also when nothing was sent. */
+  /** Whether the request already counts in the retry budget of the shard's service, even when nothing was sent. */
   4: bool counted,
 }
 
-/** What one gateway answers another that brought it a part of a search. */
+/** The reply of a serving gateway to the gateway that requested a part of a search. */
 struct PartialAnswer {
-  /** One for each shard that is in; empty when they are packed. */
+  /** One signature for each shard in the answer; empty when packedSignatures is set. */
   1: list<string> signatures,
-  /** The greatest records of these shards, greatest first. */
+  /** The greatest records of these shards, in descending order. */
   2: binary records,
   3: list<MissingShard> missing,
-  /** The signatures in fewer bytes: compressed, with a line feed after each. */
+  /** The signatures in fewer bytes: each followed by a line feed, then compressed. */
   4: optional binary packedSignatures,
 }
--- a/Libraries/LibProtocol/operator.thrift
+++ b/Libraries/LibProtocol/operator.thrift
@@ -1,25 +1,25 @@
 /*
- * The interface that operators keep with their own code.
+ * The interface for operators, who may keep this file with their own code.
  *
- * Transport: framed TCP, compact protocol. Every field is tagged; readers
- * skip fields that they do not know, so fields may be added at any time and
- * a tag is never used again for another meaning.
+ * Transport: framed TCP, compact protocol. Every field has a tag, and readers
+ * skip fields that they do not know. Fields may therefore be added at any time,
+ * and a tag is never reused for another meaning.
  */
 namespace cpp Protocol
 
-/** One urgency class of requests and what is promised to it. */
+/** An urgency class of requests and its guarantees. */
 struct UrgencyClass {
   1: string name,
   /** 0 is the most urgent. */
   2: i32 priority,
   3: i32 deadlineMilliseconds,
-  /** Between 0 and 1. An answer that covers less is refused. */
+  /** Between 0 and 1. An answer with less coverage is refused. */
   4: double minimumCoverage = 1.0,
   /** Whether an answer may lack shards at all. */
   5: bool partialAllowed = false,
 }
 
-/** One service that the tier fronts. */
+/** A service that the query tier serves. */
 struct ServiceDeclaration {
   1: string name,
   2: i32 shards,
@@ -27,7 +27,7 @@
   4: i32 slotsPerReplica,
   5: i32 connectionCapPerReplica,
   6: string urgencyClass,
-  /** Names of the actions, none of which may run twice. */
+  /** Names of the service's actions. No action may be executed twice. */
   7: list<string> actions,
 }
 
@@ -40,9 +40,9 @@
 }
 
 struct ApplyRequest {
-  /** Chosen by the operator. A resent change carries the same id. */
+  /** Chosen by the operator. A change that is sent again carries the same id. */
   1: string changeId,
-  /** The revision that this change was made from. */
+  /** The revision on which this change is based. */
   2: i64 baseRevision,
   3: Configuration configuration,
   4: bool dryRun = false,
@@ -52,22 +52,22 @@
 
 enum ApplyStatus {
   ACCEPTED = 1,
-  /** Another change was accepted since baseRevision. */
+  /** Another change was accepted after baseRevision. */
   CONFLICT = 2,
-  /** The configuration has faults, all of which are listed. */
+  /** The configuration has faults. All of them are listed. */
   INVALID = 3,
-  /** The change id was used before for another content. */
+  /** The change id was already used with different content. */
   CHANGE_ID_REUSED = 4,
-  /** Ask the instance named in leaderAddress. */
+  /** Send the request to the instance at leaderAddress. */
   NOT_LEADER = 5,
-  /** The outcome is not known. Resend with the same change id. */
+  /** The outcome is not known. Send the change again with the same id. */
   UNKNOWN = 6,
-  /** The dry run found nothing that speaks against the change. */
+  /** The dry run found no reason to refuse the change. */
   WOULD_BE_ACCEPTED = 7,
 }
 
 struct Fault {
-  /** Where, as in services[3].shards. */
+  /** The faulty field, for example services[3].shards. */
   1: string path,
   2: string message,
 }
@@ -97,14 +97,14 @@
   5: list<string> differences,
 }
 
-/** One control instance, as the replicated log knows it. */
+/** A control instance as a member of the replicated log. */
 struct Member {
   1: string name,
   2: string peerAddress,
   3: string entryAddress,
   4: string operatorAddress,
   5: string zone,
-  /** Names the data folder. A folder that was lost comes back with another one. */
+  /** Identifies the data folder. A new folder in place of a lost one has another id. */
   6: string storageId,
   /** Voters count for the quorum. Learners only receive the log. */
   7: bool voter,
@@ -119,7 +119,7 @@
   ADD = 1,
   /** Makes a learner a voter, once it has caught up. */
   PROMOTE = 2,
-  /** Takes a voter or learner out. */
+  /** Removes a voter or learner. */
   REMOVE = 3,
 }
 
@@ -134,7 +134,7 @@
   DONE = 1,
   REFUSED = 2,
   NOT_LEADER = 3,
-  /** The outcome is not known. Look at status. */
+  /** The outcome is not known. Query status() for it. */
   UNKNOWN = 4,
 }
 
@@ -163,24 +163,24 @@
   10: bool confirmed,
   /** This instance itself, with the addresses from its settings. */
   11: Member identity,
-  /** False until bootstrap, or until a leader sent the log. */
+  /** False until bootstrap, or until a leader has sent the log. */
   12: bool initialised,
   13: Membership membership,
-  /** Empty, or why this instance's storage can't be trusted any more. */
+  /** Why this instance's storage can't be trusted any more; empty when it can. */
   14: string storageFailure,
 }
 
 service Operator {
   ApplyOutcome apply(1: ApplyRequest request),
-  /** Revision 0 asks for the current one. */
+  /** Revision 0 requests the current revision. */
   ShowReply show(1: i64 revision),
   list<HistoryEntry> history(1: i32 limit),
   ControlStatus status(),
-  /** Sent once to every founding member, with the same list, before anything else. */
+  /** Sent once to each initial member, with the same list, before any other request. */
   MemberOutcome bootstrap(1: Membership membership),
   MemberOutcome changeMember(1: MemberChange change),
-  /** The whole state of this process, as a JSON document. */
+  /** Returns the whole state of this process as a JSON document. */
   string dump(),
-  /** A planned stop of this process: hands leadership over, finishes what waits, exits. */
+  /** Stops this process in a planned way: transfers leadership, finishes waiting requests and exits. */
   void drain(),
 }
