--- a/Tests/Platform/TestCodecs.cpp
+++ b/Tests/Platform/TestCodecs.cpp
@@ -199,7 +199,8 @@
     auto document = goodConfiguration();
     cr_assert_not(Platform::readConfiguration(document.dump()).value()->workspaces.has_value(), "a document without the list of workspaces requires no keys");
     document["tenants"] = nlohmann::json::array();
-    cr_assert(Platform::readConfiguration(document.dump()).value()->workspaces.has_value(), "an empty list of workspaces still requires keys");
+    cr_assert(Platform::readConfiguration(document.dump()).value()->workspaces.has_value(),
+        "an empty list still requires keys, so removing the last workspace admits nobody");
     document["routes"][1]["public"] = true;
     document["tenants"]
         = {{{"name", "v"}, {"api_keys", {"one", "two", "one"}}, {"priority", 3}, {"rate_per_s", 2.5}, {"burst", 4}, {"allowed_regions", {"bern"}}},
