--- a/Services/entryd/main.cpp
+++ b/Services/entryd/main.cpp
@@ -86,13 +86,13 @@
     options.entry.dispatcher.seed = Core::randomNumber();
     options.entry.hedging.enabled = values.hedging != "off";
     if (values.hedging == "fixed") {
-        options.entry.hedging.fixedDelay = options.entry.hedging.unknownDelay;
+        options.entry.hedging.fixedDelay = options.entry.hedging.fallbackDelay;
     }
     options.relay.name = options.entry.name;
     options.relay.peers = values.peers;
     options.controlInstances = values.controlInstances;
     options.incarnation = static_cast<std::int64_t>(Core::randomNumber() >> 1U);
-    options.balancerNotice = Core::milliseconds(values.drainNoticeMilliseconds);
+    options.drainNotice = Core::milliseconds(values.drainNoticeMilliseconds);
     return options;
 }
 
