--- a/Libraries/LibCore/LatencyDigest.cpp
+++ b/Libraries/LibCore/LatencyDigest.cpp
@@ -35,7 +35,7 @@
     this->total += 1.0;
 }
 
-void LatencyDigest::fade(Instant now)
+void LatencyDigest::decay(Instant now)
 {
     while (now - this->lastFade >= HalfLife) {
         this->lastFade = std::max(this->lastFade + HalfLife, now - 8 * HalfLife);
--- a/Libraries/LibCore/LatencyDigest.h
+++ b/Libraries/LibCore/LatencyDigest.h
@@ -4,7 +4,7 @@
  */
 
 // Quantiles of recent latencies in bounded memory: a histogram with buckets
-// that grow by a fixed factor, whose counts fade with time.
+// that grow by a fixed factor, whose counts decay with time.
 
 #pragma once
 
@@ -23,7 +23,7 @@
     void add(Duration latency);
 
     /** Halves all counts once for each half-life that has passed. */
-    void fade(Instant now);
+    void decay(Instant now);
 
     /** The upper end of the bucket that holds the quantile; `fallback` with fewer than `minimumCount` latencies. */
     [[nodiscard]] Duration quantile(double quantile, Duration fallback, double minimumCount = 50.0) const;
--- a/Libraries/LibGateway/QuotaLimiter.cpp
+++ b/Libraries/LibGateway/QuotaLimiter.cpp
@@ -119,7 +119,7 @@
 void QuotaLimiter::sweep()
 {
     const auto now = this->timers.now();
-    this->latencies.fade(now);
+    this->latencies.decay(now);
     std::erase_if(this->exhaustedShares, [now](const auto &item) {
         return item.second.until <= now;
     });
--- a/Libraries/LibWire/ClientConnection.cpp
+++ b/Libraries/LibWire/ClientConnection.cpp
@@ -302,7 +302,7 @@
     if (transfer == Transfer::Ended && this->done) {
         // The end of the stream may end a response that names no length; a reset never does.
         this->parser.feedEnd();
-        if (this->parser.state() == ParseState::Whole) {
+        if (this->parser.state() == ParseState::Complete) {
             this->responseWhole();
         }
     }
@@ -325,7 +325,7 @@
         if (this->parser.state() == ParseState::Partial) {
             return;
         }
-        if (this->parser.state() != ParseState::Whole) {
+        if (this->parser.state() != ParseState::Complete) {
             this->fail("the bytes are no response");
             return;
         }
@@ -336,7 +336,7 @@
 void ClientConnection::responseWhole()
 {
     const bool serverKeeps = this->parser.keepsConnection();
-    Response response = this->parser.takeResponse();
+    Response response = this->parser.extractResponse();
     if (this->recognise && !this->recognise(response)) {
         if (!serverKeeps) {
             this->fail("the answer belongs to another request");
--- a/Libraries/LibWire/MessageParser.h
+++ b/Libraries/LibWire/MessageParser.h
@@ -34,7 +34,7 @@
     /** More bytes are needed. */
     Partial,
     /** The message is whole. */
-    Whole,
+    Complete,
     /** The bytes are no message. */
     Malformed,
     HeadersTooLarge,
@@ -71,8 +71,8 @@
     [[nodiscard]] bool expectsContinue() const;
 
     /** Valid once the message is whole, for the kind that is read. */
-    [[nodiscard]] Request takeRequest();
-    [[nodiscard]] Response takeResponse();
+    [[nodiscard]] Request extractRequest();
+    [[nodiscard]] Response extractResponse();
 
 private:
     static int onUrl(http_parser *parser, const char *bytes, std::size_t count);
--- a/Libraries/LibWire/Server.cpp
+++ b/Libraries/LibWire/Server.cpp
@@ -263,8 +263,8 @@
             this->writeMore();
         }
         break;
-    case ParseState::Whole:
-        this->takeRequest();
+    case ParseState::Complete:
+        this->extractRequest();
         break;
     case ParseState::Malformed:
         this->refuse(400);
@@ -278,12 +278,12 @@
     }
 }
 
-void ServerConnection::takeRequest()
+void ServerConnection::extractRequest()
 {
     ++this->server->counts.requests;
     this->stage = Stage::Answering;
     this->closeAfterResponse = !this->parser.keepsConnection();
-    Request request = this->parser.takeRequest();
+    Request request = this->parser.extractRequest();
     this->headRequest = request.method == "HEAD";
     this->exchange = std::make_shared<Exchange>(this->weak_from_this());
     const auto current = this->exchange;
--- a/Libraries/LibWire/Server.h
+++ b/Libraries/LibWire/Server.h
@@ -156,7 +156,7 @@
     void readMore();
     void parse();
     void parseNext();
-    void takeRequest();
+    void extractRequest();
     void refuse(int status);
     void writeMore();
     void responseWritten();
