--- a/Libraries/LibWire/ClientConnection.cpp
+++ b/Libraries/LibWire/ClientConnection.cpp
@@ -18,16 +18,17 @@
 {
 
 static constexpr std::size_t ReadLimitBytes = 256 * 1024;
-// A server that does not say how long it keeps idle connections is taken to do so for this long.
-static constexpr Core::Duration DefaultIdleTime = Core::seconds(30);
-// Servers tell whole seconds; one that says "timeout=5" may close a little earlier.
+// Assumed idle timeout of a server that does not state one in a Keep-Alive header.
+static constexpr Core::Duration DefaultIdleTimeout = Core::seconds(30);
+// Servers state the idle timeout in whole seconds; a server that sends "timeout=5" may close the connection slightly earlier.
 static constexpr Core::Duration IdleMargin = Core::milliseconds(700);
-// The system looks for missing acknowledgements no sooner than this after a send, whatever limit it is told.
-static constexpr Core::Duration ShortestRetransmission = Core::milliseconds(200);
-// A machine that runs acknowledges within a round trip; some more, and a margin for full links.
+// The system detects a missing acknowledgement no sooner than this after a send, even when TCP_USER_TIMEOUT is shorter.
+static constexpr Core::Duration MinimumRetransmissionTimeout = Core::milliseconds(200);
+// A running machine acknowledges within one round trip. Further round trips and the margin allow for saturated links.
 static constexpr int RoundTripsToAcknowledgement = 4;
 static constexpr Core::Duration AcknowledgementMargin = Core::milliseconds(20);
-// A connection ends after so many requests, so that it can know all of their keys: 8 KiB, for one new connection in a thousand sends.
+// A connection closes after this many requests, since it stores the key hashes of all of them: at most 8 KiB, at the cost of one new connection per
+// thousand sends.
 static constexpr std::size_t RequestsPerConnection = 1024;
 
 Core::Duration acknowledgementLimit(Core::Duration roundTrip)
@@ -60,7 +61,7 @@
     , parser(MessageKind::Response, this->options.limits)
     , startedAt(timers.now())
     , lastUse(this->startedAt)
-    , keptUntil(this->startedAt + DefaultIdleTime)
+    , keptAliveUntil(this->startedAt + DefaultIdleTimeout)
 {
 }
 
@@ -68,9 +69,9 @@
 
 void ClientConnection::send(ClientRequest request)
 {
-    Core::verify(this->isIdle(), "a request is sent on an idle connection only");
-    Core::verify(!this->hasSent(request.key), "no key goes over the same connection twice");
-    this->carried.push_back(std::hash<std::string>{}(request.key));
+    Core::verify(this->isIdle(), "requests are sent on idle connections only");
+    Core::verify(!this->hasSent(request.key), "each key is sent at most once per connection");
+    this->sentKeyHashes.push_back(std::hash<std::string>{}(request.key));
     this->output = std::move(request.bytes);
     this->written = 0;
     this->recognise = std::move(request.recognise);
@@ -78,18 +79,19 @@
     this->isHead = request.isHead;
     this->startResponse();
     this->lastUse = this->timers.now();
-    if (this->up) {
+    if (this->ready) {
         this->writeFirst();
     }
 }
 
-// The server may have reset the connection unnoticed. That is told from the loop, when the sender knows the send that it is told of.
+// The write fails when the server has reset the connection unnoticed. The failure is reported from the event loop and not from within send(), since
+// the sender can only assign it to the request once send() has returned.
 void ClientConnection::writeFirst()
 {
     const auto transfer = this->socket.write(this->output, this->written);
     if (transfer == Transfer::Open) {
         this->setWantsWrite(this->written < this->output.size());
-        this->watchForSilence();
+        this->startAcknowledgementTimer();
         return;
     }
     this->failTimer = this->timers.once(Core::Duration(0), [this, transfer](Core::Instant) {
@@ -97,50 +99,51 @@
     });
 }
 
-void ClientConnection::watchForSilence()
+void ClientConnection::startAcknowledgementTimer()
 {
-    if (this->options.acknowledgementTimeout >= ShortestRetransmission || !this->done) {
+    if (this->options.acknowledgementTimeout >= MinimumRetransmissionTimeout || !this->done) {
         return;
     }
-    const auto limit = std::min(this->options.acknowledgementTimeout, acknowledgementLimit(this->connecting));
-    this->silenceTimer = this->timers.once(limit, [this](Core::Instant) {
+    const auto limit = std::min(this->options.acknowledgementTimeout, acknowledgementLimit(this->connectDuration));
+    this->acknowledgementTimer = this->timers.once(limit, [this](Core::Instant) {
         if (this->done && this->options.awaitsAcknowledgement(this->socket)) {
             this->unacknowledged = true;
-            // What is on its way is dropped. After an orderly close the system would go on to deliver it, to a machine that comes back seconds later.
+            // The reset discards the bytes in transit. After an orderly close the system would retransmit them, and a machine that recovers seconds
+            // later would run the request.
             this->socket.resetOnClose();
-            this->fail("what was sent stayed unacknowledged");
+            this->fail("sent bytes were not acknowledged in time");
         }
     });
 }
 
 bool ClientConnection::hasSent(const std::string &key) const
 {
-    return std::find(this->carried.begin(), this->carried.end(), std::hash<std::string>{}(key)) != this->carried.end();
+    return std::find(this->sentKeyHashes.begin(), this->sentKeyHashes.end(), std::hash<std::string>{}(key)) != this->sentKeyHashes.end();
 }
 
 bool ClientConnection::isIdle() const
 {
-    return !this->gone && !this->done;
+    return !this->hasClosed && !this->done;
 }
 
 bool ClientConnection::isConnected() const
 {
-    return this->up;
+    return this->ready;
 }
 
 bool ClientConnection::isClosed() const
 {
-    return this->gone;
+    return this->hasClosed;
 }
 
 std::uint64_t ClientConnection::answered() const
 {
-    return this->answers;
+    return this->answerCount;
 }
 
 Core::Instant ClientConnection::idleUntil() const
 {
-    return this->keptUntil;
+    return this->keptAliveUntil;
 }
 
 Core::Instant ClientConnection::lastUsed() const
@@ -150,21 +153,21 @@
 
 Core::Duration ClientConnection::connectTime() const
 {
-    return this->connecting;
+    return this->connectDuration;
 }
 
 void ClientConnection::close()
 {
-    if (this->gone) {
+    if (this->hasClosed) {
         return;
     }
     const auto keepAlive = this->shared_from_this();
-    this->gone = true;
+    this->hasClosed = true;
     this->done = nullptr;
     this->recognise = nullptr;
     this->trialTimer.cancel();
     this->failTimer.cancel();
-    this->silenceTimer.cancel();
+    this->acknowledgementTimer.cancel();
     this->connectTimer.cancel();
     this->poll.remove(this->socket.number());
     this->socket = Socket();
@@ -176,45 +179,45 @@
 
 bool ClientConnection::withdraw()
 {
-    if (this->gone || this->up || !this->done) {
+    if (this->hasClosed || this->ready || !this->done) {
         return false;
     }
     this->output.clear();
     this->written = 0;
     this->done = nullptr;
     this->recognise = nullptr;
-    this->carried.pop_back();
+    this->sentKeyHashes.pop_back();
     return true;
 }
 
 void ClientConnection::handleEvents(std::uint32_t events)
 {
-    if (this->accepted) {
+    if (this->inTrial) {
         this->connectionRejected("the server reset the new connection");
         return;
     }
-    if (!this->up) {
-        this->connected();
-        if (this->gone || !this->up) {
+    if (!this->ready) {
+        this->handleConnected();
+        if (this->hasClosed || !this->ready) {
             return;
         }
     }
     if ((events & EPOLLOUT) != 0) {
         this->writeMore();
     }
-    if (!this->gone && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
+    if (!this->hasClosed && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
         this->readMore();
     }
 }
 
 void ClientConnection::connectTimedOut()
 {
-    if (!this->up && !this->accepted) {
-        this->finish(ClientResult{.end = ClientEnd::NotSent, .response = {}, .reason = "connect: no answer in time"}, false);
+    if (!this->ready && !this->inTrial) {
+        this->finish(ClientResult{.end = ClientEnd::NotSent, .response = {}, .reason = "connect: not established within the connect limit"}, false);
     }
 }
 
-void ClientConnection::connected()
+void ClientConnection::handleConnected()
 {
     this->connectTimer.cancel();
     const int error = this->socket.connectError();
@@ -222,14 +225,14 @@
         this->finish(ClientResult{.end = ClientEnd::NotSent, .response = {}, .reason = std::string("connect: ") + std::strerror(error)}, false);
         return;
     }
-    this->connecting = this->timers.now() - this->startedAt;
+    this->connectDuration = this->timers.now() - this->startedAt;
     if (!this->options.trialMargin.has_value()) {
-        this->up = true;
+        this->ready = true;
         return;
     }
-    this->accepted = true;
+    this->inTrial = true;
     this->setWantsWrite(false);
-    const auto trial = this->connecting + this->options.trialMargin.value();
+    const auto trial = this->connectDuration + this->options.trialMargin.value();
     this->trialTimer = this->timers.once(trial, [this](Core::Instant) {
         this->endTrial();
     });
@@ -238,14 +241,15 @@
 void ClientConnection::endTrial()
 {
     const auto keepAlive = this->shared_from_this();
-    this->accepted = false;
-    this->up = true;
+    this->inTrial = false;
+    this->ready = true;
     if (this->done) {
         this->writeMore();
     }
 }
 
-// Anything that the server does before a request is there ends the connection; only a request that was sent may have run.
+// Anything that the server does before the first request ends the connection. The waiting request can't have run, since only a request that was sent
+// may have run.
 void ClientConnection::connectionRejected(const std::string &reason)
 {
     this->finish(ClientResult{.end = ClientEnd::ConnectionRejected, .response = {}, .reason = reason}, false);
@@ -259,13 +263,13 @@
         return;
     }
     this->setWantsWrite(this->written < this->output.size());
-    this->watchForSilence();
+    this->startAcknowledgementTimer();
 }
 
 void ClientConnection::writeFailed(Transfer transfer)
 {
     this->unacknowledged = transfer == Transfer::Unacknowledged;
-    this->fail("the connection broke while the request was sent");
+    this->fail("the connection failed while the request was being sent");
 }
 
 void ClientConnection::setWantsWrite(bool wants)
@@ -289,29 +293,29 @@
 void ClientConnection::readMore()
 {
     const auto transfer = this->socket.read(this->input, ReadLimitBytes);
-    const bool surplus = !this->done && !this->input.empty();
-    if (surplus) {
-        // Bytes that nobody asked for belong to no request, and neither does what follows them.
+    const bool isUnsolicited = !this->done && !this->input.empty();
+    if (isUnsolicited) {
+        // Bytes that arrive without a request in flight belong to no request, and neither do the bytes after them, so the connection is unusable.
         this->close();
         return;
     }
     this->parse();
-    if (this->gone || transfer == Transfer::Open) {
+    if (this->hasClosed || transfer == Transfer::Open) {
         return;
     }
     if (transfer == Transfer::Ended && this->done) {
-        // The end of the stream may end a response that names no length; a reset never does.
+        // The end of the stream completes a response that declares no length; a reset never does.
         this->parser.feedEnd();
         if (this->parser.state() == ParseState::Whole) {
-            this->responseWhole();
+            this->handleResponse();
         }
     }
-    if (this->gone) {
+    if (this->hasClosed) {
         return;
     }
     this->unacknowledged = transfer == Transfer::Unacknowledged;
     if (this->unacknowledged) {
-        this->fail("what was sent stayed unacknowledged");
+        this->fail("sent bytes were not acknowledged in time");
     } else {
         this->fail(transfer == Transfer::Ended ? "the server closed the connection" : "the connection was reset");
     }
@@ -319,46 +323,46 @@
 
 void ClientConnection::parse()
 {
-    while (!this->gone && this->done && !this->input.empty()) {
+    while (!this->hasClosed && this->done && !this->input.empty()) {
         const std::size_t consumed = this->parser.feed(this->input);
         this->input.erase(0, consumed);
         if (this->parser.state() == ParseState::Partial) {
             return;
         }
         if (this->parser.state() != ParseState::Whole) {
-            this->fail("the bytes are no response");
+            this->fail("the received bytes are not a valid HTTP response");
             return;
         }
-        this->responseWhole();
+        this->handleResponse();
     }
 }
 
-void ClientConnection::responseWhole()
+void ClientConnection::handleResponse()
 {
-    const bool serverKeeps = this->parser.keepsConnection();
+    const bool serverKeepsAlive = this->parser.keepsConnection();
     Response response = this->parser.takeResponse();
     if (this->recognise && !this->recognise(response)) {
-        if (!serverKeeps) {
-            this->fail("the answer belongs to another request");
+        if (!serverKeepsAlive) {
+            this->fail("the response belongs to another request");
             return;
         }
-        // A surplus answer to an earlier request; the right one may still follow.
+        // This is a surplus response to an earlier request; the response to the current one may still follow.
         this->startResponse();
         return;
     }
-    ++this->answers;
-    this->noteKeepAlive(response);
-    // An answer that came before the request was out leaves the server reading: what is sent next would be taken for its rest.
-    const bool requestOut = this->written == this->output.size();
-    const bool mayCarryMore = this->carried.size() < RequestsPerConnection;
-    const bool keep = serverKeeps && requestOut && mayCarryMore && this->input.empty();
+    ++this->answerCount;
+    this->applyKeepAlive(response);
+    // If the response arrived before the whole request was written, the server is still reading it and would take the next request for its rest.
+    const bool requestWritten = this->written == this->output.size();
+    const bool belowRequestLimit = this->sentKeyHashes.size() < RequestsPerConnection;
+    const bool keep = serverKeepsAlive && requestWritten && belowRequestLimit && this->input.empty();
     this->finish(ClientResult{.end = ClientEnd::Answered, .response = std::move(response), .reason = {}}, keep);
 }
 
-void ClientConnection::noteKeepAlive(const Response &response)
+void ClientConnection::applyKeepAlive(const Response &response)
 {
     this->lastUse = this->timers.now();
-    this->keptUntil = this->lastUse + DefaultIdleTime;
+    this->keptAliveUntil = this->lastUse + DefaultIdleTimeout;
     const auto *value = findHeader(response.headers, "Keep-Alive");
     if (value == nullptr) {
         return;
@@ -370,7 +374,7 @@
     const std::string digits = value->substr(position + 8, value->find_first_not_of("0123456789", position + 8) - position - 8);
     const auto timeout = Core::parseInteger(digits, 0, 86'400);
     if (timeout.has_value()) {
-        this->keptUntil = this->lastUse + std::max(Core::Duration(0), Core::Duration(Core::seconds(timeout.value())) - IdleMargin);
+        this->keptAliveUntil = this->lastUse + std::max(Core::Duration(0), Core::Duration(Core::seconds(timeout.value())) - IdleMargin);
     }
 }
 
@@ -379,9 +383,9 @@
     const auto keepAlive = this->shared_from_this();
     const auto hook = std::exchange(this->done, nullptr);
     this->recognise = nullptr;
-    this->silenceTimer.cancel();
+    this->acknowledgementTimer.cancel();
     if (!keep) {
-        this->gone = true;
+        this->hasClosed = true;
         this->trialTimer.cancel();
         this->failTimer.cancel();
         this->connectTimer.cancel();
--- a/Libraries/LibWire/ClientConnection.h
+++ b/Libraries/LibWire/ClientConnection.h
@@ -3,11 +3,12 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// One kept HTTP/1.1 connection to one server, with one request under way at a
-// time. Nothing is ever sent twice by itself, and an answer counts only when its
-// owner recognises it as the answer to the request that was sent. What it is
-// recognised by goes over a connection only once: a second, late answer to a
-// first send would be taken for the answer to another one of the same key.
+// A persistent HTTP/1.1 connection from a client to one server, with at most one
+// request in flight. The connection never sends a request twice by itself. A
+// response counts only when the owner of the request recognises it, by the key of
+// the request, as the response to that request. Each key is sent at most once per
+// connection: otherwise a second, late response to the first request with a key
+// would be taken for the response to the next request with the same key.
 
 #pragma once
 
@@ -25,113 +26,118 @@
 
 /** How a request on a connection ended. */
 enum class ClientEnd {
-    /** The whole response is there. */
+    /** A complete response has arrived. */
     Answered,
-    /** The connection did not come up, so the server can't have seen the request. */
+    /** The connection was not established, so the server can't have received the request. */
     NotSent,
-    /** The server took the connection and reset it before a request was sent on it, as one does that has as many as it takes. */
+    /** The server accepted the connection and reset it before a request was sent on it. A server does so at its connection limit. */
     ConnectionRejected,
-    /** The connection broke, or what came was no response. The request may have run. */
+    /** The connection failed, or what arrived was no valid response to the request. The request may have run. */
     Broken,
-    /** As Broken, but the other side's machine has most likely never had the request. */
+    /** Like Broken, but sent bytes stayed unacknowledged: the server's machine has most likely never received the request. */
     Unacknowledged,
 };
 
-/** Handed to the owner when a request has ended. */
+/** Passed to the owner of a request when the request has ended. */
 struct ClientResult {
     ClientEnd end{ClientEnd::Broken};
     Response response;
-    /** For logs; empty when answered. */
+    /** For log lines; empty when the request was answered. */
     std::string reason;
 };
 
-/** What is sent, and how its answer is known. */
+/** A request, and how its response is recognised. */
 struct ClientRequest {
+    /** The serialized request. */
     std::string bytes;
-    /** What `recognise` knows the answer by; sends of the same key can't be told apart. */
+    /** Identifies the response for `recognise`; the responses to two requests with the same key can't be told apart. */
     std::string key;
-    /** The response has no body, whatever length it names: a request of the method HEAD. */
+    /** The method of the request is HEAD, so that the response has no body, whatever length it declares. */
     bool isHead{false};
-    /** Whether a response belongs to the request. One that does not is passed over. */
+    /** Returns whether a response belongs to the request. A response that does not is discarded. */
     std::function<bool(const Response &response)> recognise;
-    /** Called once, unless close() or withdraw() comes first. */
+    /** Called once, unless close() or withdraw() ends the request before. */
     std::function<void(ClientResult result)> done;
 };
 
-/** How a connection is made. */
+/** Options of a new connection. */
 struct ClientConnectionOptions {
     Core::Endpoint endpoint;
-    /** Sent bytes that stay unacknowledged for this long break the connection; where it is short, after a few round trips already. */
+    /** The connection fails when sent bytes stay unacknowledged for this long. Below 200 ms, it fails after acknowledgementLimit() if that is shorter. */
     Core::Duration acknowledgementTimeout{Core::milliseconds(1500)};
-    /** A connection that is not up after this long ends. Nothing where the owner looks after that. */
+    /** The connection fails when it is not established after this long. Empty when the owner enforces a limit itself. */
     std::optional<Core::Duration> connectLimit;
-    /** Whether bytes that were sent on a socket are not acknowledged yet. */
+    /** Returns whether sent bytes of a socket are not acknowledged yet. Tests replace it. */
     std::function<bool(const Socket &socket)> awaitsAcknowledgement{&Socket::awaitsAcknowledgement};
     /**
-     * A server that has as many connections as it takes accepts one more and resets it at once. Requests wait on a new connection until that
-     * reset would be here, a round trip and this margin, since one that was sent may have run. Nothing where servers have no such limit.
+     * A server at its connection limit accepts one more connection and resets it at once. A request that was sent before the reset arrives may have
+     * run. Requests therefore wait on a new connection for a trial period: the round trip after which the reset would have arrived, and this margin.
+     * Empty for servers without such a limit; there is no trial period then.
      */
     std::optional<Core::Duration> trialMargin;
     MessageLimits limits;
 };
 
-/** How long a machine that runs may take to acknowledge what is sent to it over such a round trip. */
+/** The longest time that a running machine may take to acknowledge sent bytes, given the round-trip time to it. */
 [[nodiscard]] Core::Duration acknowledgementLimit(Core::Duration roundTrip);
 
-/** Connects at once; the first request may be sent before the connection is up. */
+/** Connects on creation. The first request may be passed to send() before the connection is established. */
 class ClientConnection : public Core::EventHandler, public std::enable_shared_from_this<ClientConnection>
 {
 public:
+    /** Fails with the error of Socket::connectTo(). */
     [[nodiscard]] static Core::Result<std::shared_ptr<ClientConnection>> create(
         ClientConnectionOptions options, Core::EventPoll &poll, Core::TimerService &timers);
     ~ClientConnection() override;
 
-    /** Only on a connection that is idle and has not carried a request of this key. */
+    /** Sends a request. The connection must be idle and must not have sent a request with this key. */
     void send(ClientRequest request);
 
-    /** Whether a request of this key was sent here before; its answer may yet come a second time. */
+    /** Returns whether a request with this key was sent on this connection. A second response to it may still arrive. */
     [[nodiscard]] bool hasSent(const std::string &key) const;
 
-    /** Ends the connection and drops the request under way without calling its hook. */
+    /** Closes the connection and cancels the request in flight without calling its `done` hook. */
     void close();
 
-    /** Takes the request back if none of it has left, and keeps the connection. Returns whether that was so; the result hook is not called then. */
+    /** Cancels the request if none of its bytes were sent, and keeps the connection. Returns whether it did so; the `done` hook is not called then. */
     [[nodiscard]] bool withdraw();
 
-    /** Whether a request may be sent now. */
+    /** Returns whether a request may be sent now. */
     [[nodiscard]] bool isIdle() const;
+    /** Returns whether the connection is established and its trial period is over. */
     [[nodiscard]] bool isConnected() const;
     [[nodiscard]] bool isClosed() const;
-    /** Requests that were answered on this connection. */
+    /** Number of requests that were answered on this connection. */
     [[nodiscard]] std::uint64_t answered() const;
-    /** Until when the server may be taken to keep it while idle. */
+    /** The time until which the server can be expected to keep the connection open while it is idle. */
     [[nodiscard]] Core::Instant idleUntil() const;
+    /** When the last request was sent or its response arrived; before the first request, when the connection was created. */
     [[nodiscard]] Core::Instant lastUsed() const;
-    /** How long connecting took; 0 before it is up. */
+    /** How long it took to establish the connection; 0 until then. */
     [[nodiscard]] Core::Duration connectTime() const;
 
-    /** Called once the connection can't be used any more, after the result hook. */
+    /** Called once when the connection can't be used any more, after the `done` hook of the request. */
     std::function<void()> closed;
 
     void handleEvents(std::uint32_t events) override;
 
 private:
     ClientConnection(ClientConnectionOptions options, Socket socket, Core::EventPoll &poll, Core::TimerService &timers);
-    void connected();
+    void handleConnected();
     void endTrial();
     void connectionRejected(const std::string &reason);
     void writeFirst();
     void writeMore();
     void writeFailed(Transfer transfer);
-    void watchForSilence();
+    void startAcknowledgementTimer();
     void connectTimedOut();
     void startResponse();
     void readMore();
     void parse();
-    void responseWhole();
+    void handleResponse();
     void finish(ClientResult result, bool keep);
     void fail(const std::string &reason);
-    void noteKeepAlive(const Response &response);
+    void applyKeepAlive(const Response &response);
     void setWantsWrite(bool wants);
 
     ClientConnectionOptions options;
@@ -143,28 +149,28 @@
     std::size_t written{0};
     std::string input;
     std::function<bool(const Response &response)> recognise;
-    // Of the request under way; see ClientRequest.
+    // ClientRequest::isHead of the request in flight.
     bool isHead{false};
-    // Invariant: set exactly while a request is under way.
+    // Invariant: set if and only if a request is in flight.
     std::function<void(ClientResult result)> done;
-    // Hashes of the keys of all requests that were sent here, in their order. Invariant: none is forgotten, and none stands twice.
-    std::vector<std::size_t> carried;
-    // Requests may be sent.
-    bool up{false};
-    // The server has accepted the connection, and the trial is on.
-    bool accepted{false};
-    bool gone{false};
+    // Hashes of the keys of all requests that were sent on this connection, in the order of sending. Invariant: complete and without duplicates.
+    std::vector<std::size_t> sentKeyHashes;
+    // The connection is established and its trial period is over: requests are written to the socket.
+    bool ready{false};
+    // The connection is established and in its trial period: requests wait.
+    bool inTrial{false};
+    bool hasClosed{false};
     bool unacknowledged{false};
     bool wantsWrite{true};
-    std::uint64_t answers{0};
+    std::uint64_t answerCount{0};
     Core::Instant startedAt;
     Core::Instant lastUse;
-    Core::Instant keptUntil;
-    Core::Duration connecting{0};
+    Core::Instant keptAliveUntil;
+    Core::Duration connectDuration{0};
     Core::TimerSubscription trialTimer;
     Core::TimerSubscription failTimer;
-    // Active while a request is under way whose silence the system would notice too late.
-    Core::TimerSubscription silenceTimer;
+    // Active while a request is in flight whose missing acknowledgement the system would notice too late.
+    Core::TimerSubscription acknowledgementTimer;
     Core::TimerSubscription connectTimer;
 };
 
--- a/Libraries/LibWire/Message.h
+++ b/Libraries/LibWire/Message.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// HTTP/1.1 messages as plain values, and the text that they travel as.
+// HTTP/1.1 messages as plain values, and their serialization.
 
 #pragma once
 
@@ -21,53 +21,54 @@
     std::string value;
 };
 
-/** Header lines in the order in which they came. */
+/** Header lines in the order of the message. */
 using Headers = std::vector<Header>;
 
-/** Whether two header names are the same; case does not count (RFC 9110, section 5.1). */
+/** Returns whether two header names are equal, ignoring case (RFC 9110, section 5.1). */
 [[nodiscard]] bool sameName(std::string_view left, std::string_view right);
 
-/** The value of the first header with this name, or nullptr. */
+/** Returns the value of the first header with this name, or nullptr. */
 [[nodiscard]] const std::string *findHeader(const Headers &headers, std::string_view name);
 
-/** Removes all headers with this name, and returns the value of the last of them; nothing when there is none. */
+/** Removes all headers with this name and returns the value of the last one; empty when there is none. */
 [[nodiscard]] std::optional<std::string> extractHeader(Headers &headers, std::string_view name);
 
-/** Whether a header concerns one connection only, so that it is never passed on (RFC 9110, section 7.6.1). */
+/** Returns whether a header applies to a single connection only and is never forwarded (RFC 9110, section 7.6.1). */
 [[nodiscard]] bool isConnectionHeader(std::string_view name);
 
-/** A whole request. */
+/** A complete request. */
 struct Request {
     std::string method;
-    /** As it stood in the request line, query included. */
+    /** The target of the request line, including the query. */
     std::string target;
     Headers headers;
     std::string body;
 };
 
-/** A whole response. */
+/** A complete response. */
 struct Response {
     int status{0};
     Headers headers;
     std::string body;
 };
 
-/** The usual words for a status. */
+/** The standard reason phrase of a status code, or "Other" for a code that is not in the table. */
 [[nodiscard]] const char *reasonPhrase(int status);
 
-/** Appends a request's line and headers, with a length when there is a body or the method usually has one. */
+/** Appends a request. A Content-Length header is added when there is a body or the method usually has one. */
 void appendRequest(std::string &bytes, const Request &request);
 
-/** What the server says about the connection along with a response. */
+/** How a response is serialized, and what it states about the connection. */
 struct ResponseOptions {
+    /** Sent as `Connection: close`. */
     bool close{false};
-    /** Sent as `Keep-Alive: timeout=`; nothing is sent for 0. */
+    /** Sent as `Keep-Alive: timeout=`, unless it is 0 or `close` is set. */
     long idleSeconds{0};
-    /** A response to HEAD carries a length but no body. */
+    /** Set for a response to HEAD, which has a length but no body. */
     bool withoutBody{false};
 };
 
-/** Appends a whole response. Connection headers in `response` are left out; they are made from `options`. */
+/** Appends a response. Connection headers in `response` are omitted; those that are sent follow from `options`. */
 void appendResponse(std::string &bytes, const Response &response, const ResponseOptions &options);
 
 }
--- a/Libraries/LibWire/MessageParser.cpp
+++ b/Libraries/LibWire/MessageParser.cpp
@@ -10,10 +10,10 @@
 namespace Wire
 {
 
-// What a callback returns to make the parser stop.
+// Return values of the callbacks of http_parser.
 static constexpr int Stop = 1;
-static constexpr int GoOn = 0;
-// What onHeadersComplete returns for a message that ends there.
+static constexpr int Continue = 0;
+// Return value of onHeadersComplete for a message without a body.
 static constexpr int SkipBody = 1;
 
 MessageParser::MessageParser(MessageKind kind, MessageLimits limits) : kind(kind), limits(limits)
@@ -89,7 +89,7 @@
     if (this->currentState != ParseState::Partial) {
         return;
     }
-    // NOTE: Only a response that names no length may end with its connection; the parser knows which one does.
+    // NOTE: The end of the stream completes only a response that declares no length; http_parser recognises such a response.
     http_parser_execute(&this->parser, &callbacks(), nullptr, 0);
     if (this->currentState == ParseState::Partial) {
         this->currentState = ParseState::Malformed;
@@ -139,7 +139,7 @@
 {
     this->headerBytes += count;
     if (this->headerBytes <= this->limits.headerBytes) {
-        return GoOn;
+        return Continue;
     }
     this->currentState = ParseState::HeadersTooLarge;
     return Stop;
@@ -156,7 +156,7 @@
 {
     auto &reader = self(parser);
     if (reader.headersDone) {
-        // A trailer after a chunked body; it is checked, but not passed on.
+        // This is a trailer after a chunked body. It is checked but not passed to the caller.
         return reader.countHeaderBytes(count);
     }
     if (reader.headers.empty() || reader.valueStarted) {
@@ -181,11 +181,11 @@
 {
     auto &reader = self(parser);
     reader.headersDone = true;
-    // A blank before the colon is read differently by different programs, so such a message is refused (RFC 9112, section 5.1).
-    const bool namesAreClean = std::all_of(reader.headers.begin(), reader.headers.end(), [](const Header &header) {
+    // Implementations disagree on white space before the colon, so a message that has it is rejected (RFC 9112, section 5.1).
+    const bool namesAreValid = std::all_of(reader.headers.begin(), reader.headers.end(), [](const Header &header) {
         return !header.name.empty() && header.name.find_first_of(" \t") == std::string::npos;
     });
-    if (!namesAreClean) {
+    if (!namesAreValid) {
         reader.currentState = ParseState::Malformed;
         return -1;
     }
@@ -197,7 +197,7 @@
         reader.currentState = ParseState::BodyTooLarge;
         return -1;
     }
-    return GoOn;
+    return Continue;
 }
 
 int MessageParser::onBody(http_parser *parser, const char *bytes, std::size_t count)
@@ -208,7 +208,7 @@
         return Stop;
     }
     reader.body.append(bytes, count);
-    return GoOn;
+    return Continue;
 }
 
 int MessageParser::onMessageComplete(http_parser *parser)
@@ -216,16 +216,16 @@
     auto &reader = self(parser);
     const bool interim = reader.kind == MessageKind::Response && parser->status_code >= 100 && parser->status_code < 200;
     if (interim) {
-        // "100 Continue" comes before the response that is waited for.
+        // An interim response such as "100 Continue" precedes the final response.
         reader.headers.clear();
         reader.headersDone = false;
         reader.valueStarted = false;
-        return GoOn;
+        return Continue;
     }
     reader.keepAlive = http_should_keep_alive(parser) != 0;
     reader.currentState = ParseState::Whole;
     http_parser_pause(parser, 1);
-    return GoOn;
+    return Continue;
 }
 
 }
--- a/Libraries/LibWire/MessageParser.h
+++ b/Libraries/LibWire/MessageParser.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Reads HTTP/1.1 messages from bytes as they arrive, with the http_parser
-// library. It never reads past the end of a message: what follows stays with
-// the caller, who decides whom it belongs to.
+// Parses HTTP/1.1 messages from bytes as they arrive, with the http_parser
+// library. The parser never consumes bytes after the end of a message: they stay
+// with the caller, who decides which message they belong to.
 
 #pragma once
 
@@ -17,31 +17,31 @@
 namespace Wire
 {
 
-/** What a reader has to put up with at most. */
+/** Maximum sizes of an accepted message. */
 struct MessageLimits {
     std::size_t headerBytes{16 * 1024};
     std::size_t bodyBytes{64 * 1024 * 1024};
 };
 
-/** Which messages are read. */
+/** The kind of message that is parsed. */
 enum class MessageKind {
     Request,
     Response,
 };
 
-/** Where a reader stands. */
+/** State of the message that is being parsed. */
 enum class ParseState {
     /** More bytes are needed. */
     Partial,
-    /** The message is whole. */
+    /** The message is complete. */
     Whole,
-    /** The bytes are no message. */
+    /** The bytes are not a valid message. */
     Malformed,
     HeadersTooLarge,
     BodyTooLarge,
 };
 
-/** Reads one message after the other; reset() starts the next one. */
+/** Parses one message after another; reset() starts the next one. */
 class MessageParser
 {
 public:
@@ -49,28 +49,28 @@
     MessageParser(const MessageParser &) = delete;
     MessageParser &operator=(const MessageParser &) = delete;
 
-    /** Takes bytes and returns how many of them belong to this message. */
+    /** Parses bytes and returns how many of them belong to this message. */
     std::size_t feed(std::string_view bytes);
 
-    /** The other side will send no more. A response without a length is whole then. */
+    /** To be called when the other side has ended its stream. This completes a response that declares no length; another partial message is malformed. */
     void feedEnd();
 
-    /** Starts the next message. `limits` may have changed. */
+    /** Starts the next message with the given limits. */
     void reset(MessageLimits newLimits);
 
-    /** The message that was started has no body, whatever length it names, as the response to HEAD (RFC 9110, section 9.3.2). */
+    /** States that the current message has no body, whatever length it declares. This holds for a response to HEAD (RFC 9110, section 9.3.2). */
     void expectNoBody();
 
     [[nodiscard]] ParseState state() const;
-    /** Whether any byte of the message has arrived. */
+    /** Returns whether any byte of the message has arrived. */
     [[nodiscard]] bool hasBegun() const;
     [[nodiscard]] bool headersComplete() const;
-    /** Whether the other side keeps the connection after this message. Valid once it is whole. */
+    /** Returns whether the other side keeps the connection open after this message. Valid once the message is complete. */
     [[nodiscard]] bool keepsConnection() const;
-    /** Whether a caller waits for "100 Continue" before it sends the body. */
+    /** Returns whether the sender waits for "100 Continue" before it sends the body. */
     [[nodiscard]] bool expectsContinue() const;
 
-    /** Valid once the message is whole, for the kind that is read. */
+    /** Moves the message out of the parser. Valid once the message is complete, for a parser of this kind of message. */
     [[nodiscard]] Request takeRequest();
     [[nodiscard]] Response takeResponse();
 
--- a/Libraries/LibWire/Server.cpp
+++ b/Libraries/LibWire/Server.cpp
@@ -15,12 +15,12 @@
 
 static constexpr int ListenBacklog = 512;
 static constexpr std::size_t ReadLimitBytes = 64 * 1024;
-// Bytes of further requests that a connection may send ahead while one is being answered.
+// Maximum size of further requests that are buffered while a request is being answered.
 static constexpr std::size_t PipelinedLimitBytes = 64 * 1024;
-// How often limits of time are checked; a limit is kept to within this.
+// How often timeouts are checked; a timeout is enforced to within this period.
 static constexpr Core::Duration SweepPeriod = Core::milliseconds(250);
 // How long a connection waits, after its last response, for the other side to close it.
-static constexpr Core::Duration LingerTime = Core::seconds(1);
+static constexpr Core::Duration LingerTimeout = Core::seconds(1);
 
 // ---- Exchange
 
@@ -60,7 +60,8 @@
     std::shared_ptr<Server> server(new Server(std::move(options), poll, timers));
     server->listener = std::move(listener.value());
     server->listening = true;
-    // NOTE: The table of watched descriptors holds the server until stopListening(), which the destructor can't be, so it gets a handle that owns nothing.
+    // NOTE: EventPoll owns its handlers until they are removed. The server is only removed by stopListening(), at the latest in its destructor, which
+    // would never run if EventPoll owned the server. EventPoll therefore gets a pointer that owns nothing.
     poll.add(server->listener.number(), EPOLLIN, std::shared_ptr<Core::EventHandler>(std::shared_ptr<Core::EventHandler>(), server.get()));
     return server;
 }
@@ -86,13 +87,13 @@
 
 void Server::closeIdleConnections()
 {
-    std::vector<std::shared_ptr<ServerConnection>> resting;
+    std::vector<std::shared_ptr<ServerConnection>> idle;
     for (const auto &[descriptor, connection] : this->connections) {
-        if (connection->isResting()) {
-            resting.push_back(connection);
+        if (connection->isIdle()) {
+            idle.push_back(connection);
         }
     }
-    for (const auto &connection : resting) {
+    for (const auto &connection : idle) {
         connection->linger();
     }
 }
@@ -146,7 +147,7 @@
         this->poll.add(descriptor, EPOLLIN | EPOLLRDHUP, connection);
         this->startSweeps();
     }
-    this->mayHaveWaiting = true;
+    this->mayHaveQueuedConnections = true;
 }
 
 void Server::startSweeps()
@@ -168,17 +169,17 @@
         all.push_back(connection);
     }
     for (const auto &connection : all) {
-        connection->closeIfOverdue(now);
+        connection->closeIfTimedOut(now);
     }
-    if (this->listening && std::exchange(this->mayHaveWaiting, false)) {
+    if (this->listening && std::exchange(this->mayHaveQueuedConnections, false)) {
         this->accept();
     }
-    if (this->connections.empty() && !this->mayHaveWaiting) {
+    if (this->connections.empty() && !this->mayHaveQueuedConnections) {
         this->sweepTimer.cancel();
     }
 }
 
-void Server::forget(int descriptor)
+void Server::removeConnection(int descriptor)
 {
     this->connections.erase(descriptor);
 }
@@ -190,11 +191,11 @@
     , socket(std::move(socket))
     , parser(MessageKind::Request, server.options.limits.message)
     , lastActivity(server.timers.now())
-    , requestBegan(this->lastActivity)
+    , requestStartedAt(this->lastActivity)
 {
 }
 
-bool ServerConnection::isResting() const
+bool ServerConnection::isIdle() const
 {
     return this->stage == Stage::Reading && !this->parser.hasBegun() && this->input.empty() && this->written == this->output.size();
 }
@@ -223,7 +224,7 @@
         }
         return;
     }
-    // A caller that ends its side of the connection has gone away: callers of this interface keep it open while they wait.
+    // The end of the stream means that the caller has disconnected: callers of this interface keep their side open while they wait for a response.
     if (transfer != Transfer::Open) {
         this->close();
         return;
@@ -232,8 +233,9 @@
     this->parse();
 }
 
-// A response that is written at once asks for the next request from within the handler. That one is taken here once the handler has returned, since
-// a caller may send thousands ahead and a handler within the other takes two kilobytes of the stack.
+// A handler that responds at once causes a nested call for the next request. The nested call returns immediately, and the loop of the outer call
+// handles the next request after the handler has returned. Otherwise the stack could overflow: a caller may pipeline thousands of requests, and each
+// nested handler takes two kilobytes of the stack.
 void ServerConnection::parse()
 {
     if (this->parsing) {
@@ -251,7 +253,7 @@
 void ServerConnection::parseNext()
 {
     if (!this->parser.hasBegun()) {
-        this->requestBegan = this->server->timers.now();
+        this->requestStartedAt = this->server->timers.now();
     }
     const std::size_t consumed = this->parser.feed(this->input);
     this->input.erase(0, consumed);
@@ -264,21 +266,21 @@
         }
         break;
     case ParseState::Whole:
-        this->takeRequest();
+        this->handleRequest();
         break;
     case ParseState::Malformed:
-        this->refuse(400);
+        this->rejectRequest(400);
         break;
     case ParseState::HeadersTooLarge:
-        this->refuse(431);
+        this->rejectRequest(431);
         break;
     case ParseState::BodyTooLarge:
-        this->refuse(413);
+        this->rejectRequest(413);
         break;
     }
 }
 
-void ServerConnection::takeRequest()
+void ServerConnection::handleRequest()
 {
     ++this->server->counts.requests;
     this->stage = Stage::Answering;
@@ -290,7 +292,7 @@
     this->server->options.handler(std::move(request), current);
 }
 
-void ServerConnection::refuse(int status)
+void ServerConnection::rejectRequest(int status)
 {
     ++this->server->counts.malformed;
     this->stage = Stage::Answering;
@@ -305,8 +307,8 @@
         return;
     }
     this->exchange.reset();
-    const bool serverEnds = this->server->draining || findHeader(response.headers, "Connection") != nullptr;
-    this->closeAfterResponse = this->closeAfterResponse || serverEnds;
+    const bool serverCloses = this->server->draining || findHeader(response.headers, "Connection") != nullptr;
+    this->closeAfterResponse = this->closeAfterResponse || serverCloses;
     const auto idleSeconds = std::chrono::duration_cast<std::chrono::seconds>(this->server->options.limits.idleTimeout).count();
     appendResponse(this->output, response, {.close = this->closeAfterResponse, .idleSeconds = idleSeconds, .withoutBody = this->headRequest});
     this->stage = Stage::Reading;
@@ -380,7 +382,7 @@
     const auto keepAlive = this->shared_from_this();
     this->stage = Stage::Closed;
     this->server->poll.remove(this->socket.number());
-    this->server->forget(this->socket.number());
+    this->server->removeConnection(this->socket.number());
     this->socket = Socket();
     const auto pending = std::exchange(this->exchange, nullptr);
     if (!pending) {
@@ -394,19 +396,19 @@
     }
 }
 
-void ServerConnection::closeIfOverdue(Core::Instant now)
+void ServerConnection::closeIfTimedOut(Core::Instant now)
 {
     const auto &limits = this->server->options.limits;
-    if (this->stage == Stage::Lingering && now - this->lastActivity >= LingerTime) {
+    if (this->stage == Stage::Lingering && now - this->lastActivity >= LingerTimeout) {
         this->close();
         return;
     }
     if (this->stage != Stage::Reading) {
         return;
     }
-    if (this->parser.hasBegun() && now - this->requestBegan >= limits.requestTimeout) {
+    if (this->parser.hasBegun() && now - this->requestStartedAt >= limits.requestTimeout) {
         ++this->server->counts.timedOut;
-        this->refuse(408);
+        this->rejectRequest(408);
         return;
     }
     if (!this->parser.hasBegun() && now - this->lastActivity >= limits.idleTimeout) {
--- a/Libraries/LibWire/Server.h
+++ b/Libraries/LibWire/Server.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// An HTTP/1.1 server for many small requests. libsoup costs several times the
-// processor time that this takes (docs/QUERY-PATH.md, "The lean HTTP path"), and
-// hides when a caller goes away or whether a request was read.
+// An HTTP/1.1 server for many small requests. It does not use libsoup, which takes
+// several times the processor time (docs/QUERY-PATH.md, "The lean HTTP path") and
+// does not report when a caller disconnects or whether a request was read.
 
 #pragma once
 
@@ -23,19 +23,19 @@
 
 class ServerConnection;
 
-/** One request that waits for its response. */
+/** A request that awaits its response. */
 class Exchange
 {
 public:
     explicit Exchange(std::weak_ptr<ServerConnection> connection);
 
-    /** To be called once. Does nothing when the caller is gone. */
+    /** Sends the response. To be called once. Does nothing when the caller has disconnected. */
     void respond(const Response &response);
 
-    /** Whether the caller still waits. */
+    /** Returns whether the caller still waits for the response. */
     [[nodiscard]] bool isOpen() const;
 
-    /** Called once when the caller goes away before the response. */
+    /** Called once if the caller disconnects before the response. */
     std::function<void()> aborted;
 
 private:
@@ -46,26 +46,26 @@
 
 using ExchangePointer = std::shared_ptr<Exchange>;
 
-/** Handles one whole request. */
+/** Handles one complete request. */
 using RequestHandler = std::function<void(Request request, const ExchangePointer &exchange)>;
 
-/** What callers may send and how long they may take. May change while the server runs. */
+/** Limits on the size of requests and on the time that callers may take. They may change while the server runs. */
 struct ServerLimits {
     MessageLimits message{.headerBytes = 16 * 1024, .bodyBytes = 256 * 1024};
-    /** From the first byte of a request to its last. */
+    /** Maximum time from the first byte of a request to its last. */
     Core::Duration requestTimeout{Core::seconds(10)};
-    /** A connection that rests for this long is closed. */
+    /** A connection that has been idle for this long is closed. */
     Core::Duration idleTimeout{Core::seconds(60)};
 };
 
-/** How a server listens. */
+/** Options of a server. */
 struct ServerOptions {
     /** Shown in log lines. */
     std::string name;
     Core::Endpoint endpoint;
     RequestHandler handler;
     ServerLimits limits;
-    /** Connections beyond that wait in the listening queue. */
+    /** Further connections wait in the listening queue. */
     std::size_t maximumConnections{2000};
 };
 
@@ -73,34 +73,35 @@
 struct ServerCounters {
     std::uint64_t accepted{0};
     std::uint64_t requests{0};
-    /** Callers that went away before their response. */
+    /** Requests whose caller disconnected before the response. */
     std::uint64_t aborted{0};
-    /** Requests that broke a limit or were no HTTP. */
+    /** Requests that exceeded a limit of ServerLimits or were not valid HTTP. */
     std::uint64_t malformed{0};
+    /** Requests that exceeded ServerLimits::requestTimeout; `malformed` includes them. */
     std::uint64_t timedOut{0};
 };
 
-/** Listens from create() until destroyed. */
+/** Listens from create() until stopListening() or its destruction. */
 class Server : public Core::EventHandler
 {
 public:
-    /** Fails with Unreachable when the address can't be listened on. */
+    /** Fails with Unreachable when the server can't listen on the address. */
     [[nodiscard]] static Core::Result<std::shared_ptr<Server>> create(ServerOptions options, Core::EventPoll &poll, Core::TimerService &timers);
     ~Server() override;
 
     void setLimits(const ServerLimits &limits);
 
-    /** From now on every response ends its connection, so that callers move on by themselves. */
+    /** From now on every response closes its connection, so that callers reconnect to other servers by themselves. */
     void endConnectionsAfterResponse();
 
-    /** Closes the connections on which nothing is under way. */
+    /** Closes the connections that have neither a request in progress nor unwritten output. */
     void closeIdleConnections();
 
-    /** Stops taking new connections. */
+    /** Stops accepting new connections. */
     void stopListening();
 
     [[nodiscard]] std::size_t connectionCount() const;
-    /** Requests without a response, and responses that are not written to the last byte. */
+    /** Number of requests without a response, plus responses that are not completely written. */
     [[nodiscard]] std::size_t inFlight() const;
     [[nodiscard]] const ServerCounters &counters() const;
 
@@ -112,7 +113,7 @@
     void accept();
     void startSweeps();
     void sweep();
-    void forget(int descriptor);
+    void removeConnection(int descriptor);
 
     ServerOptions options;
     Core::EventPoll &poll;
@@ -121,14 +122,14 @@
     bool listening{false};
     bool draining{false};
     std::unordered_map<int, std::shared_ptr<ServerConnection>> connections;
-    // Connections may be in the listening queue that were left there, since there were as many as this server takes.
-    bool mayHaveWaiting{false};
+    // Set when accepting stopped at `maximumConnections`: further connections may wait in the listening queue.
+    bool mayHaveQueuedConnections{false};
     // Invariant: active while there are connections.
     Core::TimerSubscription sweepTimer;
     ServerCounters counts;
 };
 
-/** One caller's connection. Requests on it are answered one at a time, in their order. */
+/** The connection of one caller. Its requests are answered one at a time, in the order of their arrival. */
 class ServerConnection : public Core::EventHandler, public std::enable_shared_from_this<ServerConnection>
 {
 public:
@@ -136,19 +137,21 @@
 
     void handleEvents(std::uint32_t events) override;
     void respond(const Response &response);
-    /** Ends the connection without a response. */
+    /** Closes the connection without a response. */
     void close();
-    [[nodiscard]] bool isResting() const;
-    void closeIfOverdue(Core::Instant now);
+    /** Returns whether the connection has neither a request in progress nor unwritten output. */
+    [[nodiscard]] bool isIdle() const;
+    /** Enforces the timeouts of ServerLimits and the linger timeout. */
+    void closeIfTimedOut(Core::Instant now);
 
 private:
     friend class Server;
     enum class Stage {
-        /** Between requests, or reading one. */
+        /** Waits for a request or receives one. */
         Reading,
-        /** A request is with its handler. */
+        /** The handler has received a request and has not responded yet. */
         Answering,
-        /** The last response is out; waits for the other side to close, since closing with unread bytes would reset. */
+        /** The last response was written. Waits for the other side to close, since closing with unread bytes would reset the connection. */
         Lingering,
         Closed,
     };
@@ -156,8 +159,8 @@
     void readMore();
     void parse();
     void parseNext();
-    void takeRequest();
-    void refuse(int status);
+    void handleRequest();
+    void rejectRequest(int status);
     void writeMore();
     void responseWritten();
     void linger();
@@ -175,11 +178,11 @@
     bool headRequest{false};
     bool wantsWrite{false};
     bool wantsRead{true};
-    // Requests are being taken.
+    // Set while parse() runs, to prevent recursion through a handler that responds at once.
     bool parsing{false};
     ExchangePointer exchange;
     Core::Instant lastActivity;
-    Core::Instant requestBegan;
+    Core::Instant requestStartedAt;
 };
 
 }
--- a/Libraries/LibWire/Socket.cpp
+++ b/Libraries/LibWire/Socket.cpp
@@ -20,7 +20,7 @@
 namespace Wire
 {
 
-static constexpr std::size_t ReadPieceBytes = 16 * 1024;
+static constexpr std::size_t ReadChunkBytes = 16 * 1024;
 
 Socket::Socket(int descriptor) : descriptor(descriptor)
 {
@@ -49,7 +49,7 @@
     address.sin_family = AF_INET;
     address.sin_port = htons(endpoint.port);
     if (inet_pton(AF_INET, endpoint.address.c_str(), &address.sin_addr) != 1) {
-        return Core::failure(Core::ErrorKind::InvalidInput, endpoint.address + " is no IPv4 address");
+        return Core::failure(Core::ErrorKind::InvalidInput, endpoint.address + " is not an IPv4 address");
     }
     return address;
 }
@@ -61,7 +61,7 @@
 
 static void setOption(int descriptor, int level, int option, int value)
 {
-    // An option that can't be set costs time, not truth; the connection is used all the same.
+    // A failure is ignored: without the option the connection is slower to send or to detect a failure, but still correct.
     setsockopt(descriptor, level, option, &value, sizeof(value));
 }
 
@@ -71,17 +71,17 @@
     if (!address.has_value()) {
         return tl::make_unexpected(address.error());
     }
-    Socket made(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    if (!made.isOpen()) {
+    Socket created(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    if (!created.isOpen()) {
         return systemFailure("socket");
     }
-    setOption(made.descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
-    setOption(made.descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(Core::toMilliseconds(acknowledgementTimeout)));
+    setOption(created.descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
+    setOption(created.descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(Core::toMilliseconds(acknowledgementTimeout)));
     const auto *generic = reinterpret_cast<const sockaddr *>(&address.value());
-    if (connect(made.descriptor, generic, sizeof(sockaddr_in)) != 0 && errno != EINPROGRESS) {
+    if (connect(created.descriptor, generic, sizeof(sockaddr_in)) != 0 && errno != EINPROGRESS) {
         return systemFailure("connect");
     }
-    return made;
+    return created;
 }
 
 Core::Result<Socket> Socket::listenOn(const Core::Endpoint &endpoint, int backlog)
@@ -90,19 +90,19 @@
     if (!address.has_value()) {
         return tl::make_unexpected(address.error());
     }
-    Socket made(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    if (!made.isOpen()) {
+    Socket created(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    if (!created.isOpen()) {
         return systemFailure("socket");
     }
-    setOption(made.descriptor, SOL_SOCKET, SO_REUSEADDR, 1);
+    setOption(created.descriptor, SOL_SOCKET, SO_REUSEADDR, 1);
     const auto *generic = reinterpret_cast<const sockaddr *>(&address.value());
-    if (bind(made.descriptor, generic, sizeof(sockaddr_in)) != 0) {
+    if (bind(created.descriptor, generic, sizeof(sockaddr_in)) != 0) {
         return systemFailure("bind");
     }
-    if (listen(made.descriptor, backlog) != 0) {
+    if (listen(created.descriptor, backlog) != 0) {
         return systemFailure("listen");
     }
-    return made;
+    return created;
 }
 
 Socket Socket::acceptOne() const
@@ -124,7 +124,7 @@
     return this->descriptor >= 0;
 }
 
-// What a failed call says of the connection.
+// The state of the connection after a failed call.
 static Transfer transferAfterError(int error)
 {
     if (error == EAGAIN || error == EWOULDBLOCK) {
@@ -135,14 +135,14 @@
 
 Transfer Socket::read(std::string &bytes, std::size_t limit) const
 {
-    std::array<char, ReadPieceBytes> piece{};
-    std::size_t taken = 0;
-    while (taken < limit) {
-        const ssize_t count = recv(this->descriptor, piece.data(), piece.size(), 0);
+    std::array<char, ReadChunkBytes> chunk{};
+    std::size_t received = 0;
+    while (received < limit) {
+        const ssize_t count = recv(this->descriptor, chunk.data(), chunk.size(), 0);
         if (count > 0) {
-            bytes.append(piece.data(), static_cast<std::size_t>(count));
-            taken += static_cast<std::size_t>(count);
-            if (static_cast<std::size_t>(count) < piece.size()) {
+            bytes.append(chunk.data(), static_cast<std::size_t>(count));
+            received += static_cast<std::size_t>(count);
+            if (static_cast<std::size_t>(count) < chunk.size()) {
                 return Transfer::Open;
             }
         } else if (count == 0) {
--- a/Libraries/LibWire/Socket.h
+++ b/Libraries/LibWire/Socket.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Non-blocking TCP sockets that close themselves.
+// Non-blocking TCP sockets that close their descriptors when destroyed.
 
 #pragma once
 
@@ -17,19 +17,19 @@
 namespace Wire
 {
 
-/** How a read or write ended. */
+/** The state of a connection after a read or write. */
 enum class Transfer {
-    /** Some bytes moved, or none can move now. */
+    /** Some bytes were transferred, or none can be transferred now. */
     Open,
-    /** The other side sent its end of the stream. */
+    /** The other side has ended its stream. */
     Ended,
-    /** The connection was reset. */
+    /** The connection was reset or failed otherwise. */
     Broken,
-    /** Bytes that were sent stayed unacknowledged for the silence limit: the other side's machine has most likely never had them. */
+    /** Sent bytes stayed unacknowledged for the acknowledgement timeout: the other side's machine has most likely never received them. */
     Unacknowledged,
 };
 
-/** Owns a descriptor. */
+/** Owns the descriptor of a socket. */
 class Socket
 {
 public:
@@ -41,33 +41,37 @@
     Socket(const Socket &) = delete;
     Socket &operator=(const Socket &) = delete;
 
-    /** Starts to connect. `acknowledgementTimeout` is how long sent bytes may stay unacknowledged before the connection counts as broken. */
+    /**
+     * Starts to connect. The connection fails when sent bytes stay unacknowledged for `acknowledgementTimeout`. Fails with InvalidInput when the
+     * address is not an IPv4 address, and with Unreachable on an error of the system.
+     */
     [[nodiscard]] static Core::Result<Socket> connectTo(const Core::Endpoint &endpoint, Core::Duration acknowledgementTimeout);
 
-    /** Listens with a queue for `backlog` connections. */
+    /** Listens with a queue for `backlog` connections. Fails as connectTo() does. */
     [[nodiscard]] static Core::Result<Socket> listenOn(const Core::Endpoint &endpoint, int backlog);
 
-    /** The next connection, or a socket that is not open when none waits. */
+    /** Accepts the next connection. Returns a socket that is not open when none waits. */
     [[nodiscard]] Socket acceptOne() const;
 
+    /** The descriptor; -1 when the socket is not open. */
     [[nodiscard]] int number() const;
     [[nodiscard]] bool isOpen() const;
 
-    /** Appends what has arrived, up to about `limit` bytes. */
+    /** Appends the bytes that have arrived, up to about `limit` bytes. */
     [[nodiscard]] Transfer read(std::string &bytes, std::size_t limit) const;
 
-    /** Writes from `offset` on and moves it forward. */
+    /** Writes the bytes from `offset` on and advances `offset`. */
     [[nodiscard]] Transfer write(std::string_view bytes, std::size_t &offset) const;
 
-    /** What became of connectTo(): 0, or an errno value. */
+    /** The outcome of connectTo(): 0, or an errno value. */
     [[nodiscard]] int connectError() const;
-    /** Whether bytes that were sent are not acknowledged yet; false where the system does not tell. */
+    /** Returns whether sent bytes are not acknowledged yet; false when the system does not report it. */
     [[nodiscard]] bool awaitsAcknowledgement() const;
 
-    /** Tells the other side that no more bytes follow. */
+    /** Ends the stream in this direction, so that the other side sees that no more bytes follow. */
     void finishWriting() const;
 
-    /** Makes the close that follows a reset, so that the other side stops at once. */
+    /** Makes a later close reset the connection, so that unsent bytes are discarded and the other side stops at once. */
     void resetOnClose() const;
 
 private:
