--- a/Libraries/LibCore/BoundedLogAppender.cpp
+++ b/Libraries/LibCore/BoundedLogAppender.cpp
@@ -26,16 +26,16 @@
 
 void BoundedLogAppender::close()
 {
-    this->writeWaiting();
+    this->writeBuffered();
 }
 
-bool BoundedLogAppender::takePermit()
+bool BoundedLogAppender::consumePermit()
 {
     const auto now = std::chrono::duration_cast<std::chrono::seconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
-    if (now != this->lastSecond) {
-        const auto passed = this->lastSecond == 0 ? 1 : now - this->lastSecond;
+    if (now != this->lastRefillSecond) {
+        const auto passed = this->lastRefillSecond == 0 ? 1 : now - this->lastRefillSecond;
         this->permits = std::min(Burst, this->permits + passed * LinesPerSecond);
-        this->lastSecond = now;
+        this->lastRefillSecond = now;
     }
     if (this->permits == 0) {
         return false;
@@ -46,39 +46,39 @@
 
 void BoundedLogAppender::append(const log4cxx::spi::LoggingEventPtr &event, log4cxx::helpers::Pool &pool)
 {
-    if (!this->takePermit() || this->waiting.size() >= WaitingBytes) {
-        ++this->untold;
+    if (!this->consumePermit() || this->buffered.size() >= MaximumBufferedBytes) {
+        ++this->droppedLines;
         return;
     }
-    this->tellLeftOut();
+    this->appendDroppedCount();
     log4cxx::LogString line;
     this->lineLayout->format(line, event, pool);
-    this->waiting += line;
-    this->writeWaiting();
+    this->buffered += line;
+    this->writeBuffered();
 }
 
-void BoundedLogAppender::tellLeftOut()
+void BoundedLogAppender::appendDroppedCount()
 {
-    if (this->untold > 0) {
-        this->waiting += "event=log.left_out lines=" + std::to_string(this->untold) + "\n";
-        this->untold = 0;
+    if (this->droppedLines > 0) {
+        this->buffered += "event=log.left_out lines=" + std::to_string(this->droppedLines) + "\n";
+        this->droppedLines = 0;
     }
 }
 
-void BoundedLogAppender::writeWaiting()
+void BoundedLogAppender::writeBuffered()
 {
-    while (!this->waiting.empty()) {
+    while (!this->buffered.empty()) {
         pollfd state{.fd = this->descriptor, .events = POLLOUT, .revents = 0};
         if (poll(&state, 1, 0) <= 0 || (state.revents & POLLOUT) == 0) {
             return;
         }
-        // A pipe that polls as writable takes this much without blocking (POSIX, PIPE_BUF).
-        const auto count = std::min<std::size_t>(this->waiting.size(), PIPE_BUF);
-        const ssize_t written = write(this->descriptor, this->waiting.data(), count);
+        // A pipe that is reported as writable accepts this much without blocking (POSIX, PIPE_BUF).
+        const auto count = std::min<std::size_t>(this->buffered.size(), PIPE_BUF);
+        const ssize_t written = write(this->descriptor, this->buffered.data(), count);
         if (written <= 0) {
             return;
         }
-        this->waiting.erase(0, static_cast<std::size_t>(written));
+        this->buffered.erase(0, static_cast<std::size_t>(written));
     }
 }
 
--- a/Libraries/LibCore/BoundedLogAppender.h
+++ b/Libraries/LibCore/BoundedLogAppender.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Writes log lines without ever waiting for whoever reads them, and no more than
-// so many a second. What was left out is counted in a line of its own.
+// A log4cxx appender that never blocks on a slow reader and limits the rate of log
+// lines. Lines above a limit are dropped; a line of its own states their number.
 
 #pragma once
 
@@ -17,16 +17,16 @@
 namespace Core
 {
 
-/** Appends to a descriptor. Lines wait in bounded memory while the reader is slow. */
+/** Writes log lines to a descriptor. While the reader is slow, lines are buffered in bounded memory. */
 class BoundedLogAppender : public log4cxx::AppenderSkeleton
 {
 public:
-    /** Lines a second on average; a request costs one or two, and one gateway takes tens of requests a second. */
+    /** Average rate limit. A request logs one or two lines, and one gateway receives tens of requests a second. */
     static constexpr std::int64_t LinesPerSecond = 400;
-    /** Lines that may come at once, for starts and faults. */
+    /** Maximum number of lines at once, as they occur at a start or a fault. */
     static constexpr std::int64_t Burst = 2000;
-    /** Bytes that wait at most while nobody reads. */
-    static constexpr std::size_t WaitingBytes = 256 * 1024;
+    /** Lines are dropped while at least this much is buffered because nobody reads. */
+    static constexpr std::size_t MaximumBufferedBytes = 256 * 1024;
 
     BoundedLogAppender(const log4cxx::LayoutPtr &layout, int descriptor);
 
@@ -35,17 +35,17 @@
     [[nodiscard]] bool requiresLayout() const override;
 
 private:
-    [[nodiscard]] bool takePermit();
-    void writeWaiting();
-    void tellLeftOut();
+    [[nodiscard]] bool consumePermit();
+    void writeBuffered();
+    void appendDroppedCount();
 
-    // NOTE: AppenderSkeleton::getLayout() of log4cxx 1.0.0 gives nothing back for an appender made in code.
+    // NOTE: AppenderSkeleton::getLayout() of log4cxx 1.0.0 returns nothing for an appender that was created in code.
     log4cxx::LayoutPtr lineLayout;
     int descriptor;
-    std::string waiting;
+    std::string buffered;
     std::int64_t permits{Burst};
-    std::int64_t lastSecond{0};
-    std::uint64_t untold{0};
+    std::int64_t lastRefillSecond{0};
+    std::uint64_t droppedLines{0};
 };
 
 }
--- a/Libraries/LibCore/Daemon.cpp
+++ b/Libraries/LibCore/Daemon.cpp
@@ -15,7 +15,7 @@
 Daemon::Daemon(std::string name)
     : name(std::move(name)), loop(g_main_loop_new(nullptr, FALSE)), timerService(systemClock()), loopTimer(this->timerService, nullptr)
 {
-    // A peer that closes while we write is an error of that write, not a signal.
+    // Without SIGPIPE, a write to a connection that the peer has closed fails with an error instead of ending the process.
     std::signal(SIGPIPE, SIG_IGN);
     this->terminateSource = g_unix_signal_add(SIGTERM, stopSignal, this);
     this->interruptSource = g_unix_signal_add(SIGINT, stopSignal, this);
@@ -92,7 +92,7 @@
                 return {};
             }
         }
-        return failure(ErrorKind::InvalidInput, "\"" + value + "\" is none of debug, info, warning, error");
+        return failure(ErrorKind::InvalidInput, "\"" + value + "\" is not one of debug, info, warning, error");
     };
     settings.add(std::move(option));
 }
--- a/Libraries/LibCore/Daemon.h
+++ b/Libraries/LibCore/Daemon.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What every daemon does alike: one GLib loop, timers, signals, exit codes.
+// The common parts of all daemons: GLib main loop, timers, signal handling and exit
+// codes.
 
 #pragma once
 
@@ -23,13 +24,13 @@
 /** Exit codes of all programs; listed in docs/OPERATING.md. */
 enum class ExitCode {
     Success = 0,
-    /** The program ran and failed. */
+    /** The program started and failed. */
     Failure = 1,
-    /** A setting or argument is wrong. */
+    /** A setting or argument is invalid. */
     Usage = 2,
 };
 
-/** The loop of one process. */
+/** The main loop of a process. */
 class Daemon
 {
 public:
@@ -40,17 +41,17 @@
 
     [[nodiscard]] TimerService &timers();
 
-    /** Called on the first SIGTERM or SIGINT. A second one quits at once. Without a hook the first one quits. */
+    /** Sets the hook that the first SIGTERM or SIGINT calls. A second signal quits the loop at once; without a hook the first one does. */
     void onStop(std::function<void()> hook);
 
-    /** Called on SIGUSR1, to write the state to standard output. */
+    /** Sets the hook that SIGUSR1 calls, to write the state to standard output. */
     void onDump(std::function<void()> hook);
 
-    /** Runs until quit(). */
+    /** Runs the loop until quit() is called. */
     void run();
     void quit();
 
-    /** Begins a planned stop, as SIGTERM does. */
+    /** Starts a planned stop, as SIGTERM does. */
     void requestStop();
 
 private:
@@ -69,10 +70,10 @@
     guint dumpSource{0};
 };
 
-/** Adds --log-level. */
+/** Adds the setting --log-level, whose value goes to `target`. */
 void addLogLevelSetting(Settings &settings, LogLevel &target);
 
-/** Parses the settings, prints help or errors, starts logging and runs the program. Returns the exit code. */
+/** Parses the settings, prints help or errors, starts logging and runs the program. Arguments after the flags are an error. Returns an ExitCode. */
 [[nodiscard]] int runProgram(Settings &settings,
     int argumentCount,
     char **arguments,
--- a/Libraries/LibCore/EventPoll.cpp
+++ b/Libraries/LibCore/EventPoll.cpp
@@ -17,7 +17,7 @@
 namespace Core
 {
 
-// Events fetched by one system call; more are fetched in the next iteration of the loop.
+// Maximum number of events that one system call fetches; further events are fetched in the next iteration of the loop.
 static constexpr int EventsPerBatch = 128;
 
 Result<std::unique_ptr<EventPoll>> EventPoll::create(GMainContext *context)
@@ -31,7 +31,7 @@
 
 EventPoll::EventPoll(int descriptor, GMainContext *context) : descriptor(descriptor), source(g_unix_fd_source_new(descriptor, G_IO_IN))
 {
-    // NOTE: GLib calls the function with the signature of GUnixFDSourceFunc, whatever g_source_set_callback() says.
+    // NOTE: GLib calls the function with the signature of GUnixFDSourceFunc, although g_source_set_callback() takes a GSourceFunc.
     g_source_set_callback(this->source, reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(ready)), this, nullptr);
     g_source_attach(this->source, context);
 }
@@ -80,14 +80,15 @@
 {
     std::array<epoll_event, EventsPerBatch> events{};
     const int count = epoll_wait(this->descriptor, events.data(), EventsPerBatch, 0);
-    // Handlers are taken out first: one that is removed, or whose number is used again meanwhile, must not get an old event.
-    std::array<std::shared_ptr<EventHandler>, EventsPerBatch> owners;
+    // All handlers are looked up before the first one is called. A handler that another one removes, or whose descriptor number is reused by another
+    // one, must not receive an event from before that change.
+    std::array<std::shared_ptr<EventHandler>, EventsPerBatch> batchHandlers;
     for (int index = 0; index < count; ++index) {
-        owners[static_cast<std::size_t>(index)] = this->handlers[static_cast<std::size_t>(events[static_cast<std::size_t>(index)].data.fd)];
+        batchHandlers[static_cast<std::size_t>(index)] = this->handlers[static_cast<std::size_t>(events[static_cast<std::size_t>(index)].data.fd)];
     }
     for (int index = 0; index < count; ++index) {
         const auto position = static_cast<std::size_t>(index);
-        const auto &owner = owners[position];
+        const auto &owner = batchHandlers[position];
         if (owner && this->handlers[static_cast<std::size_t>(events[position].data.fd)] == owner) {
             owner->handleEvents(events[position].events);
         }
--- a/Libraries/LibCore/EventPoll.h
+++ b/Libraries/LibCore/EventPoll.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Readiness of many sockets through one epoll descriptor, which the GLib loop
-// watches as a single source. GLib itself polls every descriptor anew in each
-// iteration, which costs too much with hundreds of open connections.
+// Reports the readiness of many sockets through one epoll descriptor, which the GLib
+// loop watches as a single source. GLib itself would poll every descriptor in each
+// iteration of the loop, which is too slow with hundreds of open connections.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 namespace Core
 {
 
-/** Gets the events of one descriptor. */
+/** Receives the events of one descriptor. */
 class EventHandler
 {
 public:
@@ -29,30 +29,30 @@
     EventHandler &operator=(const EventHandler &) = delete;
     virtual ~EventHandler() = default;
 
-    /** `events` as epoll_wait(2) gives them. The handler is kept alive for the length of the call. */
+    /** Called with the events that epoll_wait(2) reports for the descriptor. The handler is kept alive during the call. */
     virtual void handleEvents(std::uint32_t events) = 0;
 };
 
-/** The table of watched descriptors. Has to outlive all of them. */
+/** Watches descriptors and calls their handlers. Must outlive all watched descriptors. */
 class EventPoll
 {
 public:
-    /** Fails with LimitReached when the process has no descriptor left. */
+    /** Fails with LimitReached when the process has no free descriptor. */
     [[nodiscard]] static Result<std::unique_ptr<EventPoll>> create(GMainContext *context);
     ~EventPoll();
     EventPoll(const EventPoll &) = delete;
     EventPoll &operator=(const EventPoll &) = delete;
 
-    /** Watches a descriptor. The handler is owned until remove(). */
+    /** Starts to watch a descriptor, and owns its handler until remove(). */
     void add(int descriptor, std::uint32_t events, std::shared_ptr<EventHandler> handler);
 
-    /** Changes the events that are wanted. */
+    /** Changes the events for which a descriptor is watched. */
     void modify(int descriptor, std::uint32_t events);
 
-    /** To be called before the descriptor is closed. Events that were fetched already are dropped. */
+    /** Stops watching a descriptor. To be called before it is closed. Events that were already fetched are discarded. */
     void remove(int descriptor);
 
-    /** Called after each batch of events, for work that many events share. */
+    /** Called after each batch of events, for work that is done once for many events. */
     std::function<void()> batchDone;
 
 private:
@@ -62,7 +62,7 @@
 
     int descriptor;
     GSource *source{nullptr};
-    // Indexed by descriptor; empty where nothing is watched.
+    // Indexed by descriptor; null for a descriptor that is not watched.
     std::vector<std::shared_ptr<EventHandler>> handlers;
 };
 
--- a/Libraries/LibCore/Identity.cpp
+++ b/Libraries/LibCore/Identity.cpp
@@ -20,7 +20,7 @@
 static std::array<std::uint8_t, Size> randomBytes()
 {
     std::array<std::uint8_t, Size> bytes{};
-    // getrandom() of up to 256 bytes is never cut short once the kernel's generator is seeded.
+    // getrandom() never returns fewer bytes for a request of up to 256 bytes once the kernel's generator is seeded.
     if (getrandom(bytes.data(), bytes.size(), 0) != static_cast<ssize_t>(bytes.size())) {
         std::abort();
     }
@@ -104,7 +104,7 @@
 
 std::int32_t shardOfKey(std::string_view key, std::int32_t shardCount)
 {
-    // The first eight bytes of the digest, as a big-endian number, modulo the number of shards.
+    // The shard is the first eight bytes of the digest, as a big-endian number, modulo the number of shards.
     const std::string digest = sha256(key).substr(0, 16);
     const std::uint64_t number = std::strtoull(digest.c_str(), nullptr, 16);
     return static_cast<std::int32_t>(number % static_cast<std::uint64_t>(shardCount));
--- a/Libraries/LibCore/Invariant.h
+++ b/Libraries/LibCore/Invariant.h
@@ -3,14 +3,15 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The check for broken invariants, the one kind of failure that stops the process.
+// Checks invariants. A broken invariant is the only kind of failure that aborts the
+// process.
 
 #pragma once
 
 namespace Core
 {
 
-/** Logs the invariant's name and aborts when it does not hold. */
+/** Logs the invariant and aborts the process when the invariant does not hold. */
 void verify(bool holds, const char *invariant);
 
 }
--- a/Libraries/LibCore/Json.cpp
+++ b/Libraries/LibCore/Json.cpp
@@ -10,10 +10,10 @@
 namespace Core
 {
 
-// Deeper documents are refused before the parser recurses into them.
+// Documents with deeper nesting are rejected before the parser recurses into them, since they could exhaust the stack.
 static constexpr int MaximumDepth = 32;
 
-static bool isTooDeep(std::string_view text)
+static bool exceedsMaximumDepth(std::string_view text)
 {
     int depth = 0;
     bool inString = false;
@@ -37,7 +37,7 @@
 
 Result<nlohmann::json> parseObject(std::string_view text)
 {
-    if (isTooDeep(text)) {
+    if (exceedsMaximumDepth(text)) {
         return failure(ErrorKind::InvalidInput, "the JSON document is nested too deeply");
     }
     auto document = nlohmann::json::parse(text, nullptr, false);
@@ -67,7 +67,7 @@
 {
     const auto found = object.find(name);
     if (found == object.end() || !found->is_number_integer()) {
-        return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is missing or not a whole number", name));
+        return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is missing or not an integer", name));
     }
     const bool tooLarge = found->is_number_unsigned() && found->get<std::uint64_t>() > INT64_MAX;
     const std::int64_t number = tooLarge ? INT64_MAX : found->get<std::int64_t>();
--- a/Libraries/LibCore/Json.h
+++ b/Libraries/LibCore/Json.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Reading JSON that came from outside: every access says what is wrong
-// instead of throwing.
+// Reads JSON from outside the process. Every access returns an error that says what
+// is wrong, instead of throwing an exception.
 
 #pragma once
 
@@ -18,16 +18,16 @@
 namespace Core
 {
 
-/** Parses text that has to be one JSON object. Fails with InvalidInput. */
+/** Parses a text that must be one JSON object. Fails with InvalidInput. */
 [[nodiscard]] Result<nlohmann::json> parseObject(std::string_view text);
 
-/** A member that has to be a string of at most `maximumLength` bytes. */
+/** Returns a member that must be a string of at most `maximumLength` bytes. Fails with InvalidInput. */
 [[nodiscard]] Result<std::string> textMember(const nlohmann::json &object, const char *name, std::size_t maximumLength = 4096);
 
-/** A member that has to be a whole number within limits. */
+/** Returns a member that must be an integer from `lowest` to `highest`. Fails with InvalidInput. */
 [[nodiscard]] Result<std::int64_t> integerMember(const nlohmann::json &object, const char *name, std::int64_t lowest, std::int64_t highest);
 
-/** The text of a document; bytes that are no UTF-8 are replaced, never thrown on. */
+/** Serializes a document. Bytes that are not valid UTF-8 are replaced instead of causing an exception. */
 [[nodiscard]] std::string toText(const nlohmann::json &document, int indentation = -1);
 
 }
--- a/Libraries/LibCore/LatencyDigest.cpp
+++ b/Libraries/LibCore/LatencyDigest.cpp
@@ -24,7 +24,7 @@
     return std::min(bucket, BucketCount - 1);
 }
 
-Duration LatencyDigest::upperEnd(std::size_t bucket)
+Duration LatencyDigest::upperBound(std::size_t bucket)
 {
     return Duration(static_cast<Duration::rep>(LowestMicroseconds * std::pow(Growth, static_cast<double>(bucket))));
 }
@@ -37,8 +37,8 @@
 
 void LatencyDigest::fade(Instant now)
 {
-    while (now - this->lastFade >= HalfLife) {
-        this->lastFade = std::max(this->lastFade + HalfLife, now - 8 * HalfLife);
+    while (now - this->lastDecay >= HalfLife) {
+        this->lastDecay = std::max(this->lastDecay + HalfLife, now - 8 * HalfLife);
         for (auto &count : this->counts) {
             count /= 2.0;
         }
@@ -55,10 +55,10 @@
     for (std::size_t bucket = 0; bucket < BucketCount; ++bucket) {
         below += this->counts[bucket];
         if (below >= quantile * this->total) {
-            return upperEnd(bucket);
+            return upperBound(bucket);
         }
     }
-    return upperEnd(BucketCount - 1);
+    return upperBound(BucketCount - 1);
 }
 
 double LatencyDigest::count() const
--- a/Libraries/LibCore/LatencyDigest.h
+++ b/Libraries/LibCore/LatencyDigest.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Quantiles of recent latencies in bounded memory: a histogram with buckets
-// that grow by a fixed factor, whose counts fade with time.
+// Estimates quantiles of recent latencies in bounded memory, with a histogram whose
+// buckets grow by a fixed factor and whose counts decay over time.
 
 #pragma once
 
@@ -15,19 +15,20 @@
 namespace Core
 {
 
-/** Latencies between 50 µs and about 100 s, each bucket 10 % wider than the last. */
+/** A histogram of latencies from 50 µs to more than 100 s; each bucket is 10 % wider than the one before. */
 class LatencyDigest
 {
 public:
     /** Counts one latency. */
     void add(Duration latency);
 
-    /** Halves all counts once for each half-life that has passed. */
+    /** Halves all counts once for each half-life that has passed since the previous call. */
     void fade(Instant now);
 
-    /** The upper end of the bucket that holds the quantile; `fallback` with fewer than `minimumCount` latencies. */
+    /** Returns the upper bound of the bucket that contains the quantile (from 0 to 1); `fallback` when count() is below `minimumCount`. */
     [[nodiscard]] Duration quantile(double quantile, Duration fallback, double minimumCount = 50.0) const;
 
+    /** Returns the number of latencies, with decay. */
     [[nodiscard]] double count() const;
 
 private:
@@ -35,11 +36,11 @@
     static constexpr Duration HalfLife = seconds(10);
 
     [[nodiscard]] static std::size_t bucketOf(Duration latency);
-    [[nodiscard]] static Duration upperEnd(std::size_t bucket);
+    [[nodiscard]] static Duration upperBound(std::size_t bucket);
 
     std::array<double, BucketCount> counts{};
     double total{0.0};
-    Instant lastFade;
+    Instant lastDecay;
 };
 
 }
--- a/Libraries/LibCore/Log.cpp
+++ b/Libraries/LibCore/Log.cpp
@@ -92,7 +92,7 @@
     return value.empty() || value.find_first_of(" \"=\\\n\r\t") != std::string_view::npos;
 }
 
-// A value never breaks the line: control characters from outside are escaped.
+// Escapes control characters, so that a value from outside the process can't break the line.
 static std::string quote(std::string_view value)
 {
     std::string quoted = "\"";
--- a/Libraries/LibCore/Log.h
+++ b/Libraries/LibCore/Log.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// One line of key=value pairs for each event, written through log4cxx. The
+// Structured logging through log4cxx: each event is one line of key=value pairs. The
 // events are listed in docs/OPERATING.md.
 
 #pragma once
@@ -16,7 +16,7 @@
 namespace Core
 {
 
-/** How much an operator has to care. */
+/** The severity of an event for operators. */
 enum class LogLevel {
     Debug,
     Information,
@@ -24,7 +24,7 @@
     Error,
 };
 
-/** As settings spell it. */
+/** Returns the name of a level in settings. */
 [[nodiscard]] const char *logLevelName(LogLevel level);
 
 /** One key=value pair of a log line. */
@@ -42,21 +42,21 @@
     std::string value;
 };
 
-/** Where a program logs. */
+/** The stream that a program logs to. */
 enum class LogStream {
-    /** For daemons: lines go out without ever blocking, and only so many a second. */
+    /** Standard output, for daemons. Writing never blocks, and the rate of lines is limited (BoundedLogAppender). */
     Output,
-    /** For commands, whose output is their result. */
+    /** Standard error, for commands, since their standard output is their result. */
     Error,
 };
 
-/** Sets up log4cxx. Called once, before any other part starts. */
+/** Sets up log4cxx. To be called once, before any other part of the program starts. */
 void startLogging(std::string_view programName, LogLevel lowestLevel, LogStream stream);
 
-/** Writes `event=<name> key=value …`. Values with blanks or quotes are quoted. */
+/** Writes `event=<name> key=value …`. Empty values and values with white space, quotes, backslashes or equals signs are quoted. */
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields);
 
-/** The line that logEvent() writes, without time and level. */
+/** Returns the line that logEvent() writes, without time, level and program. */
 [[nodiscard]] std::string formatEvent(std::string_view event, std::initializer_list<LogField> fields);
 
 }
--- a/Libraries/LibCore/LoopTimer.cpp
+++ b/Libraries/LibCore/LoopTimer.cpp
@@ -10,8 +10,8 @@
 
 namespace
 {
-// GLib allocates the source, so the way back to the owner travels inside it.
-struct OwnedSource {
+// A GSource with a pointer to its owner. GLib allocates the source, so the pointer has to be stored in the source itself.
+struct TimerSource {
     GSource base;
     LoopTimer *owner;
     TimerService *service;
@@ -20,9 +20,9 @@
 
 gboolean LoopTimer::dispatch(GSource *source, GSourceFunc, gpointer)
 {
-    auto *owned = reinterpret_cast<OwnedSource *>(source);
-    owned->service->runDue();
-    owned->owner->arm();
+    auto *timerSource = reinterpret_cast<TimerSource *>(source);
+    timerSource->service->runDue();
+    timerSource->owner->arm();
     return G_SOURCE_CONTINUE;
 }
 
@@ -30,10 +30,10 @@
 {
     static GSourceFuncs functions{
         .prepare = nullptr, .check = nullptr, .dispatch = dispatch, .finalize = nullptr, .closure_callback = nullptr, .closure_marshal = nullptr};
-    this->source = g_source_new(&functions, sizeof(OwnedSource));
-    auto *owned = reinterpret_cast<OwnedSource *>(this->source);
-    owned->owner = this;
-    owned->service = &service;
+    this->source = g_source_new(&functions, sizeof(TimerSource));
+    auto *timerSource = reinterpret_cast<TimerSource *>(this->source);
+    timerSource->owner = this;
+    timerSource->service = &service;
     g_source_attach(this->source, context);
     service.scheduleChanged = [this] {
         this->arm();
--- a/Libraries/LibCore/LoopTimer.h
+++ b/Libraries/LibCore/LoopTimer.h
@@ -14,7 +14,7 @@
 namespace Core
 {
 
-/** Owns the GSource. The service has to outlive it. */
+/** Owns the GSource. The service must outlive this object. */
 class LoopTimer
 {
 public:
--- a/Libraries/LibCore/ObjectPointer.h
+++ b/Libraries/LibCore/ObjectPointer.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Owning pointers for GObject and GLib types, so that no path forgets a reference.
+// Owning pointers for GObject and GLib types, so that a reference is released on every
+// code path.
 
 #pragma once
 
@@ -24,7 +25,7 @@
 template<typename Object>
 using ObjectPointer = std::unique_ptr<Object, ObjectUnref>;
 
-/** Takes a further reference. */
+/** Adds a reference to an object and returns its owner. */
 template<typename Object>
 [[nodiscard]] ObjectPointer<Object> shareObject(Object *object)
 {
--- a/Libraries/LibCore/Result.h
+++ b/Libraries/LibCore/Result.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Outcomes as values. A fallible function returns Result, which its caller has
-// to look at; only a broken invariant stops the process.
+// Errors as values. A function that can fail returns a Result, which its caller has to
+// check. Only a broken invariant aborts the process.
 
 #pragma once
 
@@ -14,39 +14,39 @@
 namespace Core
 {
 
-/** What kind of failure it was, so that callers can decide what to do next. */
+/** The kind of a failure, so that callers can decide what to do next. */
 enum class ErrorKind {
-    /** The input breaks a documented rule. Retrying does not help. */
+    /** The input violates a documented rule. A retry does not help. */
     InvalidInput,
-    /** The thing asked for does not exist. */
+    /** The requested object does not exist. */
     NotFound,
     /** Reading, writing or syncing failed. */
     Storage,
-    /** Stored bytes are not what was written. */
+    /** Stored bytes differ from the bytes that were written. */
     Corruption,
     /** The other side could not be reached or did not answer in time. */
     Unreachable,
-    /** A limit that this process keeps was reached. */
+    /** A limit of this process was reached. */
     LimitReached,
 };
 
-/** A failure with a message for people. */
+/** A failure with a human-readable message. */
 struct Error {
     ErrorKind kind{ErrorKind::InvalidInput};
     std::string message;
 };
 
-/** Either the value or the reason why there is none. */
+/** Either a value or the error that prevented it. */
 template<typename Value>
 using Result = tl::expected<Value, Error>;
 
-/** Makes the failed half of a Result. */
+/** Creates the error of a Result. */
 [[nodiscard]] inline tl::unexpected<Error> failure(ErrorKind kind, std::string message)
 {
     return tl::make_unexpected(Error{.kind = kind, .message = std::move(message)});
 }
 
-/** The field's usual name of a kind, for log lines. */
+/** Returns the name of a kind in log lines. */
 [[nodiscard]] const char *errorKindName(ErrorKind kind);
 
 }
--- a/Libraries/LibCore/Settings.cpp
+++ b/Libraries/LibCore/Settings.cpp
@@ -51,7 +51,7 @@
     std::int64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc() || end != text.data() + text.size()) {
-        return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is not a whole number", text));
+        return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is not an integer", text));
     }
     if (number < lowest || number > highest) {
         return failure(ErrorKind::InvalidInput, fmt::format("{} is not between {} and {}", number, lowest, highest));
@@ -70,7 +70,7 @@
         address = address.substr(1, address.size() - 2);
     }
     if (g_hostname_is_ip_address(address.c_str()) == FALSE) {
-        return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is not an IP number", address));
+        return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is not an IP address", address));
     }
     const auto port = parseInteger(text.substr(colon + 1), 1, UINT16_MAX);
     if (!port.has_value()) {
@@ -141,7 +141,7 @@
 {
     option.accept = [&target, choices = std::move(choices)](const std::string &value) -> Result<void> {
         if (std::find(choices.begin(), choices.end(), value) == choices.end()) {
-            return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is none of {}", value, fmt::join(choices, ", ")));
+            return failure(ErrorKind::InvalidInput, fmt::format("\"{}\" is not one of {}", value, fmt::join(choices, ", ")));
         }
         target = value;
         return {};
--- a/Libraries/LibCore/Settings.h
+++ b/Libraries/LibCore/Settings.h
@@ -3,9 +3,10 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Settings of a program: long flags, each with an environment variable of the
-// same name. A flag goes before the environment, the environment before the
-// default. Faulty values are reported with the flag's name before anything starts.
+// Settings of a program. Each setting has a long flag and an environment variable of
+// the same name. The flag takes precedence over the variable, and the variable over
+// the default. An invalid value is reported with the name of its flag or variable
+// before the program starts.
 
 #pragma once
 
@@ -19,30 +20,30 @@
 namespace Core
 {
 
-/** What a setting is called and what it does with its value. */
+/** The definition of a setting. */
 struct SettingOptions {
-    /** As in `data-folder`, which makes --data-folder and CRANKRUDDER_DATA_FOLDER. */
+    /** For example `data-folder`, for the flag --data-folder and the variable CRANKRUDDER_DATA_FOLDER. */
     std::string name;
-    /** Shown by --help after the name. */
+    /** The placeholder for the value, which --help shows after the name. */
     std::string valueName;
     /** One sentence for --help. */
     std::string help;
-    /** Shown by --help and applied when neither flag nor variable is there. */
+    /** Shown by --help, and applied when neither the flag nor the variable is set. */
     std::string defaultValue;
-    /** Without it the program does not start. */
+    /** The program does not start when neither the flag nor the variable is set. */
     bool required{false};
-    /** Takes the value over; its error message is shown with the flag's name. */
+    /** Checks and stores the value. An error message is shown after the name of the flag or variable. */
     std::function<Result<void>(const std::string &value)> accept;
 };
 
-/** A host and port by IP number. */
+/** An IP address and a port. */
 struct Endpoint {
     std::string address;
     std::uint16_t port{0};
 
     auto operator<=>(const Endpoint &) const = default;
     [[nodiscard]] std::string toString() const;
-    /** Reads `IP:port` or `[IPv6]:port`; host names are refused, since instances talk by IP number. */
+    /** Parses `IP:port` or `[IPv6]:port`. Fails with InvalidInput; host names are rejected, since instances address each other by IP address. */
     [[nodiscard]] static Result<Endpoint> parse(std::string_view text);
 };
 
@@ -54,16 +55,19 @@
 
     void add(SettingOptions options);
 
-    /** Convenience for the common kinds of target. The target has to outlive parse(). */
+    /** These functions add a setting that is stored in a target of a common type. The target must outlive parse(). */
     void addText(SettingOptions options, std::string &target);
     void addInteger(SettingOptions options, std::int64_t &target, std::int64_t lowest, std::int64_t highest);
     void addEndpoint(SettingOptions options, Endpoint &target);
-    /** A comma-separated list; a required one may not be empty. */
+    /** The value is a comma-separated list, which must not be empty when the setting is required. */
     void addEndpoints(SettingOptions options, std::vector<Endpoint> &target);
-    /** One of some words. */
+    /** The value is one of the given words. */
     void addChoice(SettingOptions options, std::vector<std::string> choices, std::string &target);
 
-    /** Applies flags, environment and defaults. Returns what stands after the flags. Prints help and sets helpRequested. */
+    /**
+     * Applies flags, environment variables and defaults, and returns the arguments after the flags. Fails with InvalidInput. A --help flag ends the
+     * parsing and makes helpRequested() true.
+     */
     [[nodiscard]] Result<std::vector<std::string>> parse(int argumentCount, char **arguments);
 
     [[nodiscard]] bool helpRequested() const;
@@ -79,13 +83,13 @@
     bool showHelp{false};
 };
 
-/** The parts of a comma-separated list, empty ones left out. */
+/** Splits a list at its separators and omits empty parts. */
 [[nodiscard]] std::vector<std::string> splitList(std::string_view text, char separator = ',');
 
-/** The opposite of splitList(). */
+/** Joins the parts of a list; the inverse of splitList(). */
 [[nodiscard]] std::string joinList(const std::vector<std::string> &parts, char separator = ',');
 
-/** Reads a whole number within limits. */
+/** Parses an integer from `lowest` to `highest`. Fails with InvalidInput. */
 [[nodiscard]] Result<std::int64_t> parseInteger(std::string_view text, std::int64_t lowest, std::int64_t highest);
 
 }
--- a/Libraries/LibCore/StrongValue.h
+++ b/Libraries/LibCore/StrongValue.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Strong types for identifiers and counts, so that a shard index can never be
-// passed where a revision is meant.
+// Strong types for identifiers and counts, so that a shard index, for example, can't be
+// passed where a revision is expected.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 namespace Core
 {
 
-/** A value whose meaning is given by its tag. Two tags never mix. */
+/** A value whose type is distinguished by its tag. Values with different tags can't be assigned or compared. */
 template<typename Tag, typename Representation>
 class StrongValue
 {
@@ -27,7 +27,7 @@
     {
     }
 
-    /** The bare value, for output and for arithmetic at the edges. */
+    /** The underlying value, for output and for arithmetic at the boundaries of the program. */
     [[nodiscard]] const Representation &value() const
     {
         return this->representation;
@@ -39,9 +39,9 @@
     Representation representation{};
 };
 
-/** Name of a service that operators declared. */
+/** Name of a service that operators have declared. */
 using ServiceName = StrongValue<struct ServiceNameTag, std::string>;
-/** Name that a backend server gave itself; unique within its service. */
+/** Name that a backend server has chosen for itself; unique within its service. */
 using ReplicaName = StrongValue<struct ReplicaNameTag, std::string>;
 /** Name of an entry or control instance, from its settings. */
 using InstanceName = StrongValue<struct InstanceNameTag, std::string>;
@@ -49,20 +49,20 @@
 using ZoneName = StrongValue<struct ZoneNameTag, std::string>;
 /** Position of a shard within one shard map, from 0. */
 using ShardIndex = StrongValue<struct ShardIndexTag, std::int32_t>;
-/** Number of an accepted configuration; grows by one with each change. */
+/** Number of an accepted configuration; increases by one with each change. */
 using Revision = StrongValue<struct RevisionTag, std::int64_t>;
-/** Position in the replicated log, from 1; 0 stands before the first entry. */
+/** Position in the replicated log, from 1; 0 is the position before the first entry. */
 using LogIndex = StrongValue<struct LogIndexTag, std::int64_t>;
 /** Election term of the replicated log. */
 using Term = StrongValue<struct TermTag, std::int64_t>;
-/** Unguessable name of one sub-request, made afresh for every attempt. */
+/** Unguessable identifier of one sub-request; every attempt gets a new one. */
 using AttemptId = StrongValue<struct AttemptIdTag, std::string>;
-/** Name of one caller's request, as shown in answers, logs and traces. */
+/** Identifier of one request of a caller, as shown in responses, logs and traces. */
 using RequestId = StrongValue<struct RequestIdTag, std::string>;
 
 }
 
-/** Lets strong values be keys of unordered tables. */
+/** Makes strong values usable as keys of unordered containers. */
 template<typename Tag, typename Representation>
 struct std::hash<Core::StrongValue<Tag, Representation>> {
     std::size_t operator()(const Core::StrongValue<Tag, Representation> &value) const noexcept
--- a/Libraries/LibCore/Time.h
+++ b/Libraries/LibCore/Time.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Points in time and lengths of time. Decisions use the monotonic clock only;
-// the wall clock is used where people or other instances read the result.
+// Points in time and durations. Decisions are based on the monotonic clock only; the
+// wall clock is used for values that people or other instances read.
 
 #pragma once
 
@@ -16,12 +16,12 @@
 namespace Core
 {
 
-/** A length of time. */
+/** A duration in microseconds. */
 using Duration = std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A point on this process's monotonic clock. Never compared between processes. */
+/** A point in time on this process's monotonic clock. Instants of different processes can't be compared. */
 class Instant
 {
 public:
@@ -30,7 +30,7 @@
     {
     }
 
-    /** Time since the clock's own start. */
+    /** The time since the start of the clock. */
     [[nodiscard]] Duration sinceStart() const
     {
         return this->offset;
@@ -55,22 +55,22 @@
     Duration offset{0};
 };
 
-/** Milliseconds since the Unix epoch, as operators and UUIDs know it. */
+/** Milliseconds since the Unix epoch, as shown to operators and as contained in UUIDs. */
 using WallTime = std::chrono::milliseconds;
 
-/** Where parts read the time. Tests replace the hooks. */
+/** The source of the time. Tests replace its functions. */
 struct Clock {
     std::function<Instant()> now;
     std::function<WallTime()> wallTime;
 };
 
-/** The machine's clocks. CLOCK_BOOTTIME is read, so that a suspended machine sees the time that passed. */
+/** The clocks of the system. Instants are read from CLOCK_BOOTTIME, so that they include the time for which the machine was suspended. */
 [[nodiscard]] Clock systemClock();
 
-/** For output: whole milliseconds. */
+/** Converts a duration to whole milliseconds, for output. */
 [[nodiscard]] std::int64_t toMilliseconds(Duration duration);
 
-/** For output: milliseconds with a fraction. */
+/** Converts a duration to milliseconds with a fraction, for output. */
 [[nodiscard]] double toFractionalMilliseconds(Duration duration);
 
 }
--- a/Libraries/LibCore/TimerService.cpp
+++ b/Libraries/LibCore/TimerService.cpp
@@ -52,7 +52,7 @@
     return this->clock.now();
 }
 
-// The first one after a time.
+// Returns the first multiple of the period that is later than a time.
 static Instant nextMultiple(Duration period, Instant time)
 {
     return Instant((time.sinceStart() / period + 1) * period);
--- a/Libraries/LibCore/TimerService.h
+++ b/Libraries/LibCore/TimerService.h
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The one place where parts ask to be called at a later time. The service
-// itself is pure: whoever owns it says when it is. LoopTimer drives it from the
-// GLib loop, and tests drive it by hand.
+// Schedules calls at a later time, for all parts of a process. The service has no event
+// loop of its own: its owner provides the clock and calls runDue(). LoopTimer does so
+// from the GLib loop, and tests do so directly.
 
 #pragma once
 
@@ -24,7 +24,7 @@
 
 class TimerService;
 
-/** Holds a subscription; letting it go cancels the calls. */
+/** Owns a subscription; its destruction cancels further calls. */
 class TimerSubscription
 {
 public:
@@ -36,10 +36,10 @@
     TimerSubscription(const TimerSubscription &) = delete;
     TimerSubscription &operator=(const TimerSubscription &) = delete;
 
-    /** Cancels at once. Safe to call from within the subscriber's own hook. */
+    /** Cancels further calls at once. May be called from within the subscriber's own hook. */
     void cancel();
 
-    /** Whether a call may still come. */
+    /** Returns whether a call may still follow. */
     [[nodiscard]] bool isActive() const;
 
 private:
@@ -47,7 +47,7 @@
     std::uint64_t id{0};
 };
 
-/** A table of due times. Subscribers are called in the order of their due times. */
+/** Subscribers with their due times. Their hooks are called in the order of the due times. */
 class TimerService
 {
 public:
@@ -55,22 +55,22 @@
 
     explicit TimerService(Clock clock);
 
-    /** The time, read from the clock that this service was made with. */
+    /** Reads the time from the clock that was passed to the constructor. */
     [[nodiscard]] Instant now() const;
 
-    /** Calls the hook once, when the delay has passed. */
+    /** Calls the hook once, after the delay. */
     [[nodiscard]] TimerSubscription once(Duration delay, Hook hook);
 
     /**
-     * Calls the hook again and again, at multiples of the period on the clock, so that subscribers of one period are called together and a process
-     * that has nothing else to do wakes up once for all of them. A late call does not cause a burst.
+     * Calls the hook repeatedly, at multiples of the period on the clock, so that subscribers with the same period are called together and an
+     * otherwise idle process wakes up once for all of them. After a late call, the calls that were missed are skipped instead of made in a burst.
      */
     [[nodiscard]] TimerSubscription every(Duration period, Hook hook);
 
     /** Calls every hook that is due. */
     void runDue();
 
-    /** When runDue() has work next; nothing when there are no subscribers. */
+    /** The time of the next call; empty when there are no subscribers. */
     [[nodiscard]] std::optional<Instant> nextDue() const;
 
     /** Called whenever the next due time may have become earlier. */
@@ -84,7 +84,7 @@
         Duration period{0};
         Instant due;
     };
-    // Equal due times keep the order in which they were asked for, which makes tests repeatable.
+    // The due time and the id of a subscriber. Subscribers with equal due times are called in the order of subscription, so that tests are repeatable.
     using DueKey = std::pair<Instant, std::uint64_t>;
 
     std::uint64_t add(Duration delay, Duration period, Hook hook);
--- a/Libraries/LibWire/MessageParser.cpp
+++ b/Libraries/LibWire/MessageParser.cpp
@@ -10,7 +10,7 @@
 namespace Wire
 {
 
-// Return values of the callbacks of http_parser.
+// Return values of the http_parser callbacks; Stop makes the parser stop with an error.
 static constexpr int Stop = 1;
 static constexpr int Continue = 0;
 // Return value of onHeadersComplete for a message without a body.
--- a/Tests/LibCore/TestCore.cpp
+++ b/Tests/LibCore/TestCore.cpp
@@ -9,7 +9,7 @@
 
 using TestSupport::ManualTime;
 
-Test(TimerService, callsInOrderOfDueTimesAndSurvivesCancellingInAHook)
+Test(TimerService, callsHooksInOrderOfDueTimesAndLetsThemCancelOthers)
 {
     ManualTime time;
     std::string calls;
@@ -28,7 +28,7 @@
     cr_expect_eq(calls, "ac");
 }
 
-Test(TimerService, doesNotBurstAfterAPause)
+Test(TimerService, callsAPeriodicHookOncePerPeriod)
 {
     ManualTime time;
     int calls = 0;
@@ -39,41 +39,41 @@
     cr_expect_eq(calls, 10);
 }
 
-// Each distinct time at which something is due wakes a process that has nothing else to do.
-Test(TimerService, callsThoseOfOnePeriodTogetherWheneverTheySubscribed)
+// Guards against needless wake-ups: each distinct due time wakes up an otherwise idle process.
+Test(TimerService, callsSubscribersWithTheSamePeriodTogether)
 {
     ManualTime time;
-    std::set<Core::Instant> called;
+    std::set<Core::Instant> callTimes;
     std::vector<Core::TimerSubscription> subscriptions;
     for (const int period : {50, 250, 50, 250, 1000}) {
         time.advance(Core::milliseconds(7));
-        subscriptions.push_back(time.timers().every(Core::milliseconds(period), [&called](Core::Instant now) {
-            called.insert(now);
+        subscriptions.push_back(time.timers().every(Core::milliseconds(period), [&callTimes](Core::Instant now) {
+            callTimes.insert(now);
         }));
     }
     time.advance(Core::milliseconds(65));
-    called.clear();
+    callTimes.clear();
     time.advance(Core::seconds(1));
-    cr_expect_eq(called.size(), 20, "%zu", called.size());
+    cr_expect_eq(callTimes.size(), 20, "%zu", callTimes.size());
 }
 
-Test(Identity, readsTheTimeOfItsOwnKeysAndRefusesOthers)
+Test(Identity, extractsTheTimeOfUuidsAndRejectsOtherTexts)
 {
     const Core::WallTime now(1'790'000'000'123);
     const std::string key = Core::makeUuidVersion7(now);
     cr_expect_eq(Core::timeOfUuidVersion7(key).value().count(), now.count());
-    for (const char *bad : {"",
+    for (const char *invalid : {"",
              "x",
              "01a23739-9f78-455d-916a-d17b886f4c9e",
              "01a23739-9f78-755d-016a-d17b886f4c9e",
              "01a237399f78755d916ad17b886f4c9e0000",
              "01a23739-9f78-755d-916a-d17b886f4c9"}) {
-        cr_expect(!Core::timeOfUuidVersion7(bad).has_value(), "%s", bad);
+        cr_expect(!Core::timeOfUuidVersion7(invalid).has_value(), "%s", invalid);
     }
     cr_expect_neq(Core::randomToken(), Core::randomToken());
 }
 
-Test(Identity, spreadsKeysOverAllShards)
+Test(Identity, distributesKeysOverAllShards)
 {
     int counts[8] = {};
     for (int number = 0; number < 800; ++number) {
@@ -84,10 +84,10 @@
     }
 }
 
-Test(Json, refusesWhatItCannotRead)
+Test(Json, rejectsInvalidDocumentsAndMembers)
 {
-    for (const char *bad : {"", "{", "[]", "nonsense", "{\"a\":}", "\"text\""}) {
-        cr_expect(!Core::parseObject(bad).has_value(), "%s", bad);
+    for (const char *invalid : {"", "{", "[]", "nonsense", "{\"a\":}", "\"text\""}) {
+        cr_expect(!Core::parseObject(invalid).has_value(), "%s", invalid);
     }
     cr_expect(!Core::parseObject(std::string(100'000, '[')).has_value(), "deep nesting must not exhaust the stack");
     const auto object = Core::parseObject(R"({"n": 18446744073709551615, "s": "text", "deep \" [": 1})").value();
@@ -97,7 +97,7 @@
     cr_expect_eq(Core::textMember(object, "s").value(), "text");
 }
 
-Test(Log, keepsEachEventOnOneLine)
+Test(Log, writesEachEventOnOneLine)
 {
     const std::string line = Core::formatEvent("some.event", {{"plain", "value"}, {"spaced", "a b"}, {"hostile", "x\ny=\"z\""}, {"empty", ""}, {"number", 5}});
     cr_expect_eq(line, "event=some.event plain=value spaced=\"a b\" hostile=\"x\\x0ay=\\\"z\\\"\" empty=\"\" number=5");
@@ -113,7 +113,7 @@
     return settings.parse(static_cast<int>(arguments.size()), pointers.data());
 }
 
-Test(Settings, putsFlagBeforeEnvironmentBeforeDefault)
+Test(Settings, prefersFlagsToTheEnvironmentAndTheEnvironmentToDefaults)
 {
     std::int64_t number = 0;
     Core::Settings settings("program", "purpose");
--- a/Tests/LibWire/TestClientConnection.cpp
+++ b/Tests/LibWire/TestClientConnection.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A client connection against a server that answers byte by byte as a test says.
+// Tests ClientConnection against a server that sends exactly the bytes that a test specifies.
 
 #include <LibWire/ClientConnection.h>
 #include <Support/LoopFixture.h>
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** Accepts one connection, notes what comes and sends what it is told. */
+/** Accepts one connection, records the received bytes and sends the bytes that a test passes to it. */
 class ByteServer : public Core::EventHandler
 {
 public:
@@ -41,7 +41,7 @@
         (void)this->socket.write(bytes, offset);
     }
 
-    /** What has arrived so far. */
+    /** All bytes that have arrived so far. */
     [[nodiscard]] const std::string &received()
     {
         (void)this->socket.read(this->bytes, 65536);
@@ -59,7 +59,7 @@
     std::string bytes;
 };
 
-/** A connection to it, and how its requests ended. */
+/** A connection to a ByteServer, and the results of its requests. */
 class Client
 {
 public:
@@ -98,14 +98,14 @@
     std::vector<Wire::ClientResult> results;
 };
 
-std::string answerTo(const std::string &id, const std::string &body)
+std::string makeResponse(const std::string &id, const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 }
 
-Test(ClientConnection, takesARequestBackThatHasNotLeft)
+Test(ClientConnection, withdrawsARequestThatWasNotSent)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
@@ -114,16 +114,16 @@
     cr_assert(client.connection->withdraw());
     cr_assert(server.accept());
     fixture.settle();
-    cr_assert(server.received().empty(), "nothing of a request that was taken back may leave");
+    cr_assert(server.received().empty(), "no byte of a withdrawn request may be sent");
     client.send("second");
     cr_assert(fixture.runUntil([&server] {
         return server.received().find("second") != std::string::npos;
     }));
     cr_assert(server.received().find("first") == std::string::npos);
-    cr_assert_not(client.connection->withdraw(), "what has left can't be taken back");
+    cr_assert_not(client.connection->withdraw(), "a request that was sent can't be withdrawn");
 }
 
-Test(ClientConnection, passesOverASurplusAnswer)
+Test(ClientConnection, discardsASurplusResponse)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
@@ -131,13 +131,13 @@
     client.send("a");
     cr_assert(server.accept());
     fixture.settle();
-    server.send(answerTo("old", "x") + answerTo("a", "mine"));
+    server.send(makeResponse("old", "x") + makeResponse("a", "mine"));
     cr_assert(client.hasResults(1));
     cr_assert(client.results[0].end == Wire::ClientEnd::Answered);
     cr_assert(client.results[0].response.body == "mine");
 }
 
-Test(ClientConnection, dropsAConnectionWithBytesBehindTheAnswer)
+Test(ClientConnection, closesWhenBytesFollowTheResponse)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
@@ -145,13 +145,13 @@
     client.send("a");
     cr_assert(server.accept());
     fixture.settle();
-    server.send(answerTo("a", "mine") + "more");
+    server.send(makeResponse("a", "mine") + "more");
     cr_assert(client.hasResults(1));
     cr_assert(client.results[0].end == Wire::ClientEnd::Answered);
     cr_assert(client.connection->isClosed());
 }
 
-Test(ClientConnection, dropsAnIdleConnectionOnWhichBytesArrive)
+Test(ClientConnection, closesWhenBytesArriveWhileIdle)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
@@ -159,16 +159,16 @@
     client.send("a");
     cr_assert(server.accept());
     fixture.settle();
-    server.send(answerTo("a", "mine"));
+    server.send(makeResponse("a", "mine"));
     cr_assert(client.hasResults(1));
     cr_assert_not(client.connection->isClosed());
-    server.send(answerTo("a", "again"));
+    server.send(makeResponse("a", "again"));
     cr_assert(fixture.runUntil([&client] {
         return client.connection->isClosed();
     }));
 }
 
-Test(ClientConnection, tellsAResetFromAnEnd)
+Test(ClientConnection, distinguishesAResetFromTheEndOfTheStream)
 {
     struct Case {
         const char *name;
@@ -204,9 +204,9 @@
     }
 }
 
-// Backend servers that have as many connections as they take accept one more and reset it. A request that was sent on it would have to be taken
-// for one that may have run.
-Test(ClientConnection, sendsNothingOnANewConnectionThatTheServerResets)
+// A backend server at its connection limit accepts one more connection and resets it. If a request were sent on that connection, the client would
+// have to assume that it may have run.
+Test(ClientConnection, sendsNoRequestWhenTheServerResetsANewConnection)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
@@ -219,23 +219,23 @@
     cr_assert(client.connection->isClosed());
 }
 
-Test(ClientConnection, sendsOnANewConnectionOnceItsTrialIsOver)
+Test(ClientConnection, sendsTheRequestAfterTheTrialPeriod)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
     Client client(fixture, server, Core::milliseconds(1));
     client.send("first");
-    cr_assert_not(client.connection->isConnected(), "nothing has left yet");
+    cr_assert_not(client.connection->isConnected(), "nothing is sent during the trial period");
     cr_assert(server.accept());
     cr_assert(fixture.runUntil([&server] {
         return server.received().find("first") != std::string::npos;
     }));
-    server.send(answerTo("first", "mine"));
+    server.send(makeResponse("first", "mine"));
     cr_assert(client.hasResults(1));
     cr_assert(client.results[0].end == Wire::ClientEnd::Answered);
 }
 
-Test(ClientConnection, knowsThatNothingWasSentWithoutAConnection)
+Test(ClientConnection, reportsNotSentWhenConnectingFails)
 {
     LoopFixture fixture;
     const auto endpoint = TestSupport::freeEndpoint();
@@ -250,7 +250,7 @@
     cr_assert(end == Wire::ClientEnd::NotSent);
 }
 
-Test(ClientConnection, takesNoBytesForTheBodyOfAResponseToHead)
+Test(ClientConnection, completesAResponseToHeadAfterItsHeaders)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
@@ -264,45 +264,45 @@
     cr_assert(client.results[0].response.body.empty());
 }
 
-Test(ClientConnection, maySendAgainWhatWasTakenBack)
+Test(ClientConnection, sendsAWithdrawnRequestAgain)
 {
     LoopFixture fixture;
     ByteServer server(fixture);
     Client client(fixture, server);
     client.send("a");
     cr_assert(client.connection->withdraw());
-    cr_assert_not(client.connection->hasSent("a"), "it has not left");
+    cr_assert_not(client.connection->hasSent("a"), "the withdrawn request was not sent");
     client.send("a");
     cr_assert(client.connection->hasSent("a"));
     cr_assert(server.accept());
-    server.send(answerTo("a", "mine"));
+    server.send(makeResponse("a", "mine"));
     cr_assert(client.hasResults(1));
     cr_assert(client.results[0].response.body == "mine");
 }
 
-// It knows all that it carried, so it can't be kept for ever.
-Test(ClientConnection, endsAfterManyRequestsAndForgetsNoneBefore)
+// A connection stores the key hashes of all its requests, so their number has to be bounded.
+Test(ClientConnection, closesAtTheRequestLimitAndRemembersAllKeysUntilThen)
 {
-    static constexpr std::size_t Many = 10'000;
+    static constexpr std::size_t RequestsAboveLimit = 10'000;
     LoopFixture fixture;
     ByteServer server(fixture);
     Client client(fixture, server);
     std::size_t sent = 0;
-    while (!client.connection->isClosed() && sent < Many) {
+    while (!client.connection->isClosed() && sent < RequestsAboveLimit) {
         client.send(std::to_string(sent));
         cr_assert(sent > 0 || server.accept());
-        server.send(answerTo(std::to_string(sent), ""));
+        server.send(makeResponse(std::to_string(sent), ""));
         cr_assert(client.hasResults(++sent));
         cr_assert(client.connection->hasSent("0"));
     }
-    cr_assert(client.connection->isClosed(), "it went on for %zu requests", sent);
-    cr_assert(client.results.back().end == Wire::ClientEnd::Answered, "the last one is answered, too");
+    cr_assert(client.connection->isClosed(), "the connection is still open after %zu requests", sent);
+    cr_assert(client.results.back().end == Wire::ClientEnd::Answered, "the last request is answered, too");
 }
 
 namespace
 {
 
-/** A server that holds its answer, and a request whose acknowledgement a test decides. */
+/** A request to a server that responds only when the test says so. The test decides whether its bytes count as acknowledged. */
 class HeldRequest
 {
 public:
@@ -348,8 +348,9 @@
 
 }
 
-// The load pattern: a fifth of all machines loses power, and each kept connection to one of them takes what is sent without a word.
-Test(Silence, ofAMachineEndsARequestBeforeTheSystemRetransmits)
+// Guards against requests that wait in vain when a fifth of all machines loses power: each kept-alive connection to such a machine accepts bytes
+// without an error.
+Test(AcknowledgementTimeout, endsARequestBeforeTheSystemDetectsTheFailure)
 {
     HeldRequest held(false);
     cr_assert(held.fixture.runUntil([&held] {
@@ -359,8 +360,9 @@
     cr_assert(held.connection->isClosed());
 }
 
-// A machine that was frozen or cut off must not run what was asked of another one in its place meanwhile.
-Test(Silence, resetsTheConnectionSoThatNothingIsDeliveredLater)
+// Guards against a request that runs twice: a machine that was frozen or disconnected must not receive a request that has been sent to another
+// machine in the meantime.
+Test(AcknowledgementTimeout, resetsTheConnectionSoThatNothingIsDeliveredLater)
 {
     TestSupport::LoopFixture fixture;
     const auto endpoint = TestSupport::freeEndpoint();
@@ -393,10 +395,10 @@
         }
         return transfer != Wire::Transfer::Open;
     }));
-    cr_assert(transfer == Wire::Transfer::Broken, "an orderly end delivers what came before it");
+    cr_assert(transfer == Wire::Transfer::Broken, "an orderly close would deliver the bytes that were sent before");
 }
 
-Test(Silence, isNotThatOfAServerThatTakesItsTime)
+Test(AcknowledgementTimeout, doesNotApplyToASlowServerThatAcknowledges)
 {
     HeldRequest held(true);
     held.fixture.settle(Core::milliseconds(400));
@@ -408,24 +410,24 @@
     cr_assert(held.result->end == Wire::ClientEnd::Answered && held.result->response.body == "late");
 }
 
-Test(Silence, isToldByTheSystemOnlyOfWhatIsUnacknowledged)
+Test(AcknowledgementTimeout, isNotTriggeredByBytesThatTheSystemAcknowledged)
 {
     TestSupport::LoopFixture fixture;
     const auto endpoint = TestSupport::freeEndpoint();
     const auto listener = Wire::Socket::listenOn(endpoint, 4).value();
     const auto caller = Wire::Socket::connectTo(endpoint, Core::seconds(5)).value();
     std::size_t offset = 0;
-    cr_assert(caller.write("taken by the other machine, whether or not its program reads it", offset) == Wire::Transfer::Open);
+    cr_assert(caller.write("acknowledged by the other machine, whether or not its program reads it", offset) == Wire::Transfer::Open);
     cr_assert(fixture.runUntil([&caller] {
         return !caller.awaitsAcknowledgement();
     }));
 }
 
-Test(Connecting, endsWhereNobodyAnswersInTime)
+Test(ConnectLimit, endsAnAttemptThatGetsNoReply)
 {
     TestSupport::LoopFixture fixture;
     const auto endpoint = TestSupport::freeEndpoint();
-    // With nobody who accepts, this many fill the queue, and what comes then is not answered.
+    // Nothing accepts connections here, so these fill the listening queue, and a further attempt to connect gets no reply.
     const auto listener = Wire::Socket::listenOn(endpoint, 1).value();
     std::vector<Wire::Socket> others;
     for (int number = 0; number < 4; ++number) {
--- a/Tests/LibWire/TestMessageParser.cpp
+++ b/Tests/LibWire/TestMessageParser.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The reader of messages, with each input cut at every place.
+// Tests MessageParser. Where a test concerns incremental parsing, it feeds the input in two pieces, split at every position.
 
 #include <LibWire/MessageParser.h>
 
@@ -18,8 +18,8 @@
 
 constexpr Wire::MessageLimits SmallLimits{.headerBytes = 200, .bodyBytes = 20};
 
-/** Feeds the bytes in two pieces and returns how many belonged to the message. */
-std::size_t feedInTwo(MessageParser &parser, std::string_view bytes, std::size_t cut)
+/** Feeds the bytes in two pieces and returns how many of them belong to the message. */
+std::size_t feedInTwoPieces(MessageParser &parser, std::string_view bytes, std::size_t cut)
 {
     std::size_t consumed = parser.feed(bytes.substr(0, cut));
     if (consumed == cut) {
@@ -30,7 +30,7 @@
 
 }
 
-Test(MessageParser, readsRequestsWhereverTheyAreCut)
+Test(MessageParser, parsesRequestsSplitAtAnyPosition)
 {
     struct Case {
         const char *name;
@@ -54,14 +54,14 @@
             "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n15\r\n123456789012345678901\r\n0\r\n\r\n",
             ParseState::BodyTooLarge,
             ""},
-        // An offer of another protocol may be passed over (RFC 9110, section 7.8).
+        // A server may ignore an offer of another protocol (RFC 9110, section 7.8).
         {"another protocol", "GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", ParseState::Whole, ""},
     };
     for (const auto &item : cases) {
         const std::string_view bytes(item.bytes);
         for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
             MessageParser parser(MessageKind::Request, SmallLimits);
-            (void)feedInTwo(parser, bytes, cut);
+            (void)feedInTwoPieces(parser, bytes, cut);
             cr_assert(parser.state() == item.state, "%s, cut at %zu: state %d", item.name, cut, static_cast<int>(parser.state()));
             if (item.state == ParseState::Whole) {
                 cr_assert(parser.takeRequest().body == item.body, "%s, cut at %zu", item.name, cut);
@@ -70,25 +70,25 @@
     }
 }
 
-Test(MessageParser, refusesHeadersOverTheLimit)
+Test(MessageParser, rejectsHeadersAboveTheLimit)
 {
     MessageParser parser(MessageKind::Request, SmallLimits);
     (void)parser.feed("GET / HTTP/1.1\r\nLong: " + std::string(300, 'x') + "\r\n\r\n");
     cr_assert(parser.state() == ParseState::HeadersTooLarge);
 }
 
-Test(MessageParser, leavesWhatFollowsTheMessage)
+Test(MessageParser, consumesNoBytesAfterTheMessage)
 {
     const std::string first = "POST /first HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
     const std::string both = first + "GET /second HTTP/1.1\r\n\r\n";
     for (std::size_t cut = 0; cut <= both.size(); ++cut) {
         MessageParser parser(MessageKind::Request, SmallLimits);
-        cr_assert(feedInTwo(parser, both, cut) == first.size(), "cut at %zu", cut);
+        cr_assert(feedInTwoPieces(parser, both, cut) == first.size(), "cut at %zu", cut);
         cr_assert(parser.takeRequest().target == "/first");
     }
 }
 
-Test(MessageParser, knowsWhetherAResponseIsWhole)
+Test(MessageParser, recognisesCompleteResponses)
 {
     struct Case {
         const char *name;
--- a/Tests/LibWire/TestPipelinedRequests.cpp
+++ b/Tests/LibWire/TestPipelinedRequests.cpp
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Many requests that come together on one connection, each answered from within
-// its handler. Handled one within the other they use up the stack: two kilobytes
-// each at a gateway, which reads thousands of them ahead.
+// Tests many pipelined requests on one connection, each answered from within its
+// handler. Guards against nested handlers, which would exhaust the stack: each takes
+// two kilobytes at a gateway, which reads thousands of requests ahead.
 
 #include <LibWire/Server.h>
 #include <Support/LoopFixture.h>
@@ -13,20 +13,20 @@
 #include <algorithm>
 #include <criterion/criterion.h>
 
-Test(PipelinedRequests, areHandledOneAfterTheOther)
+Test(PipelinedRequests, areHandledWithoutNesting)
 {
     static constexpr int Requests = 100;
     TestSupport::LoopFixture fixture;
     const auto endpoint = TestSupport::freeEndpoint();
     int handled = 0;
     int depth = 0;
-    int deepest = 0;
+    int maximumDepth = 0;
     const auto server = Wire::Server::create({.name = "test",
                                                  .endpoint = endpoint,
                                                  .handler =
                                                      [&](const Wire::Request &, const Wire::ExchangePointer &exchange) {
                                                          ++handled;
-                                                         deepest = std::max(deepest, ++depth);
+                                                         maximumDepth = std::max(maximumDepth, ++depth);
                                                          exchange->respond(Wire::Response{.status = 200, .headers = {}, .body = {}});
                                                          --depth;
                                                      },
@@ -47,5 +47,5 @@
     cr_assert(fixture.runUntil([&handled] {
         return handled == Requests;
     }));
-    cr_assert_eq(deepest, 1, "%d handlers were under way within one another", deepest);
+    cr_assert_eq(maximumDepth, 1, "%d handlers ran nested", maximumDepth);
 }
--- a/Tests/LibWire/TestServer.cpp
+++ b/Tests/LibWire/TestServer.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The server against raw bytes on real connections.
+// Tests Server with raw bytes on real connections.
 
 #include <LibWire/Server.h>
 #include <Support/LoopFixture.h>
@@ -15,11 +15,11 @@
 namespace
 {
 
-/** A server whose requests a test answers when it likes, and one caller. */
-class Served
+/** A server whose requests the test answers explicitly, and one connected caller. */
+class ServerFixture
 {
 public:
-    explicit Served(Wire::ServerLimits limits = {}) : endpoint(TestSupport::freeEndpoint())
+    explicit ServerFixture(Wire::ServerLimits limits = {}) : endpoint(TestSupport::freeEndpoint())
     {
         this->server = Wire::Server::create({.name = "test",
                                                 .endpoint = this->endpoint,
@@ -75,13 +75,13 @@
 
 }
 
-Test(Server, answersRequestsThatCameTogetherInTheirOrder)
+Test(Server, answersPipelinedRequestsInOrder)
 {
-    Served served;
+    ServerFixture served;
     served.send("GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
     cr_assert(served.hasRequests(1));
     served.fixture.settle();
-    cr_assert(served.requests.size() == 1, "the second waits for the first one's answer");
+    cr_assert(served.requests.size() == 1, "the second request waits for the response to the first one");
     served.exchanges[0]->respond(respondWith("one"));
     cr_assert(served.hasRequests(2));
     served.exchanges[1]->respond(respondWith("two"));
@@ -89,9 +89,9 @@
     cr_assert(served.received.find("one") < served.received.find("two"));
 }
 
-Test(Server, tellsWhenTheCallerGoesAway)
+Test(Server, reportsThatTheCallerDisconnected)
 {
-    Served served;
+    ServerFixture served;
     served.send("GET /1 HTTP/1.1\r\n\r\n");
     cr_assert(served.hasRequests(1));
     bool aborted = false;
@@ -107,7 +107,7 @@
     cr_assert(served.server->inFlight() == 0);
 }
 
-Test(Server, refusesWhatBreaksItsLimits)
+Test(Server, rejectsRequestsThatExceedItsLimits)
 {
     struct Case {
         const char *name;
@@ -121,7 +121,7 @@
         {"time", "GET / HTTP/1.1\r\nA: ", "408"},
     };
     for (const auto &item : cases) {
-        Served served({.message = {.headerBytes = 300, .bodyBytes = 50}, .requestTimeout = Core::milliseconds(50)});
+        ServerFixture served({.message = {.headerBytes = 300, .bodyBytes = 50}, .requestTimeout = Core::milliseconds(50)});
         served.send(item.bytes);
         cr_assert(served.callerReads(std::string("HTTP/1.1 ") + item.status), "%s", item.name);
         cr_assert(served.callerReads("Connection: close"), "%s", item.name);
@@ -129,9 +129,9 @@
     }
 }
 
-Test(Server, endsConnectionsOnceItDrains)
+Test(Server, closesConnectionsAfterTheResponseWhileDraining)
 {
-    Served served;
+    ServerFixture served;
     served.send("GET /1 HTTP/1.1\r\n\r\n");
     cr_assert(served.hasRequests(1));
     served.server->endConnectionsAfterResponse();
