--- a/Libraries/LibCore/LatencyDigest.cpp
+++ b/Libraries/LibCore/LatencyDigest.cpp
@@ -35,7 +35,7 @@
     this->total += 1.0;
 }
 
-void LatencyDigest::fade(Instant now)
+void LatencyDigest::decay(Instant now)
 {
     while (now - this->lastDecay >= HalfLife) {
         this->lastDecay = std::max(this->lastDecay + HalfLife, now - 8 * HalfLife);
--- a/Libraries/LibCore/LatencyDigest.h
+++ b/Libraries/LibCore/LatencyDigest.h
@@ -23,7 +23,7 @@
     void add(Duration latency);
 
     /** Halves all counts once for each half-life that has passed since the previous call. */
-    void fade(Instant now);
+    void decay(Instant now);
 
     /** Returns the upper bound of the bucket that contains the quantile (from 0 to 1); `fallback` when count() is below `minimumCount`. */
     [[nodiscard]] Duration quantile(double quantile, Duration fallback, double minimumCount = 50.0) const;
--- a/Libraries/LibEntry/EntryNode.cpp
+++ b/Libraries/LibEntry/EntryNode.cpp
@@ -70,7 +70,7 @@
     this->state.dispatcher.expireWaiting(now);
     this->state.backends.forgetSilent(now);
     for (const auto &service : this->state.configuration.configuration().services) {
-        this->state.dispatcher.latencies(Core::ServiceName(service.name)).fade(now);
+        this->state.dispatcher.latencies(Core::ServiceName(service.name)).decay(now);
     }
 }
 
--- a/Libraries/LibGateway/GatewayNode.cpp
+++ b/Libraries/LibGateway/GatewayNode.cpp
@@ -97,7 +97,7 @@
     }
     for (auto *digests : {&this->latencies, &this->relayLatencies}) {
         for (auto &[name, digest] : *digests) {
-            digest.fade(now);
+            digest.decay(now);
         }
     }
     this->registry.forget(now);
--- a/Libraries/LibGateway/QuotaLimiter.cpp
+++ b/Libraries/LibGateway/QuotaLimiter.cpp
@@ -120,7 +120,7 @@
 void QuotaLimiter::sweep()
 {
     const auto now = this->timers.now();
-    this->latencies.fade(now);
+    this->latencies.decay(now);
     std::erase_if(this->emptyParts, [now](const auto &item) {
         return item.second.until <= now;
     });
--- a/Libraries/LibWire/ClientConnection.cpp
+++ b/Libraries/LibWire/ClientConnection.cpp
@@ -306,7 +306,7 @@
     if (transfer == Transfer::Ended && this->done) {
         // The end of the stream completes a response that declares no length; a reset never does.
         this->parser.feedEnd();
-        if (this->parser.state() == ParseState::Whole) {
+        if (this->parser.state() == ParseState::Complete) {
             this->handleResponse();
         }
     }
@@ -329,7 +329,7 @@
         if (this->parser.state() == ParseState::Partial) {
             return;
         }
-        if (this->parser.state() != ParseState::Whole) {
+        if (this->parser.state() != ParseState::Complete) {
             this->fail("the received bytes are not a valid HTTP response");
             return;
         }
@@ -340,7 +340,7 @@
 void ClientConnection::handleResponse()
 {
     const bool serverKeepsAlive = this->parser.keepsConnection();
-    Response response = this->parser.takeResponse();
+    Response response = this->parser.extractResponse();
     if (this->recognise && !this->recognise(response)) {
         if (!serverKeepsAlive) {
             this->fail("the response belongs to another request");
--- a/Libraries/LibWire/MessageParser.cpp
+++ b/Libraries/LibWire/MessageParser.cpp
@@ -122,7 +122,7 @@
     return expectation != nullptr && sameName(*expectation, "100-continue");
 }
 
-Request MessageParser::takeRequest()
+Request MessageParser::extractRequest()
 {
     return Request{.method = http_method_str(static_cast<http_method>(this->parser.method)),
         .target = std::move(this->target),
@@ -130,7 +130,7 @@
         .body = std::move(this->body)};
 }
 
-Response MessageParser::takeResponse()
+Response MessageParser::extractResponse()
 {
     return Response{.status = static_cast<int>(this->parser.status_code), .headers = std::move(this->headers), .body = std::move(this->body)};
 }
@@ -223,7 +223,7 @@
         return Continue;
     }
     reader.keepAlive = http_should_keep_alive(parser) != 0;
-    reader.currentState = ParseState::Whole;
+    reader.currentState = ParseState::Complete;
     http_parser_pause(parser, 1);
     return Continue;
 }
--- a/Libraries/LibWire/MessageParser.h
+++ b/Libraries/LibWire/MessageParser.h
@@ -34,7 +34,7 @@
     /** More bytes are needed. */
     Partial,
     /** The message is complete. */
-    Whole,
+    Complete,
     /** The bytes are not a valid message. */
     Malformed,
     HeadersTooLarge,
@@ -71,8 +71,8 @@
     [[nodiscard]] bool expectsContinue() const;
 
     /** Moves the message out of the parser. Valid once the message is complete, for a parser of this kind of message. */
-    [[nodiscard]] Request takeRequest();
-    [[nodiscard]] Response takeResponse();
+    [[nodiscard]] Request extractRequest();
+    [[nodiscard]] Response extractResponse();
 
 private:
     static int onUrl(http_parser *parser, const char *bytes, std::size_t count);
--- a/Libraries/LibWire/Server.cpp
+++ b/Libraries/LibWire/Server.cpp
@@ -265,7 +265,7 @@
             this->writeMore();
         }
         break;
-    case ParseState::Whole:
+    case ParseState::Complete:
         this->handleRequest();
         break;
     case ParseState::Malformed:
@@ -285,7 +285,7 @@
     ++this->server->counts.requests;
     this->stage = Stage::Answering;
     this->closeAfterResponse = !this->parser.keepsConnection();
-    Request request = this->parser.takeRequest();
+    Request request = this->parser.extractRequest();
     this->headRequest = request.method == "HEAD";
     this->exchange = std::make_shared<Exchange>(this->weak_from_this());
     const auto current = this->exchange;
--- a/Tests/LibEntry/TestRegistry.cpp
+++ b/Tests/LibEntry/TestRegistry.cpp
@@ -227,7 +227,7 @@
     }
     const auto median = digest.quantile(0.5, Core::Duration(0)).count();
     cr_expect(median >= 50'000 && median <= 56'000, "%ld", median);
-    digest.fade(Core::Instant(Core::seconds(5000)));
+    digest.decay(Core::Instant(Core::seconds(5000)));
     cr_expect_lt(digest.count(), 10.0);
 }
 
--- a/Tests/LibWire/TestMessageParser.cpp
+++ b/Tests/LibWire/TestMessageParser.cpp
@@ -39,10 +39,10 @@
         const char *body;
     };
     const std::vector<Case> cases{
-        {"plain", "GET /a/b?c=1 HTTP/1.1\r\nHost: h\r\n\r\n", ParseState::Whole, ""},
-        {"length", "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello", ParseState::Whole, "hello"},
-        {"chunks", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n", ParseState::Whole, "hello"},
-        {"chunks with a trailer", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nA: b\r\n\r\n", ParseState::Whole, "hello"},
+        {"plain", "GET /a/b?c=1 HTTP/1.1\r\nHost: h\r\n\r\n", ParseState::Complete, ""},
+        {"length", "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello", ParseState::Complete, "hello"},
+        {"chunks", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n", ParseState::Complete, "hello"},
+        {"chunks with a trailer", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nA: b\r\n\r\n", ParseState::Complete, "hello"},
         {"both lengths", "POST /a HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ParseState::Malformed, ""},
         {"two lengths", "POST /a HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!", ParseState::Malformed, ""},
         {"negative length", "POST /a HTTP/1.1\r\nContent-Length: -5\r\n\r\nhello", ParseState::Malformed, ""},
@@ -55,7 +55,7 @@
             ParseState::BodyTooLarge,
             ""},
         // A server may ignore an offer of another protocol (RFC 9110, section 7.8).
-        {"another protocol", "GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", ParseState::Whole, ""},
+        {"another protocol", "GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", ParseState::Complete, ""},
     };
     for (const auto &item : cases) {
         const std::string_view bytes(item.bytes);
@@ -63,8 +63,8 @@
             MessageParser parser(MessageKind::Request, SmallLimits);
             (void)feedInTwoPieces(parser, bytes, cut);
             cr_assert(parser.state() == item.state, "%s, cut at %zu: state %d", item.name, cut, static_cast<int>(parser.state()));
-            if (item.state == ParseState::Whole) {
-                cr_assert(parser.takeRequest().body == item.body, "%s, cut at %zu", item.name, cut);
+            if (item.state == ParseState::Complete) {
+                cr_assert(parser.extractRequest().body == item.body, "%s, cut at %zu", item.name, cut);
             }
         }
     }
@@ -84,7 +84,7 @@
     for (std::size_t cut = 0; cut <= both.size(); ++cut) {
         MessageParser parser(MessageKind::Request, SmallLimits);
         cr_assert(feedInTwoPieces(parser, both, cut) == first.size(), "cut at %zu", cut);
-        cr_assert(parser.takeRequest().target == "/first");
+        cr_assert(parser.extractRequest().target == "/first");
     }
 }
 
@@ -97,13 +97,13 @@
         ParseState state;
     };
     const std::vector<Case> cases{
-        {"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false, ParseState::Whole},
+        {"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false, ParseState::Complete},
         {"too short", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", true, ParseState::Malformed},
         {"no length, open", "HTTP/1.1 200 OK\r\n\r\nhi", false, ParseState::Partial},
-        {"no length, ended", "HTTP/1.1 200 OK\r\n\r\nhi", true, ParseState::Whole},
-        {"after an interim one", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false, ParseState::Whole},
+        {"no length, ended", "HTTP/1.1 200 OK\r\n\r\nhi", true, ParseState::Complete},
+        {"after an interim one", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false, ParseState::Complete},
         {"only an interim one", "HTTP/1.1 100 Continue\r\n\r\n", true, ParseState::Malformed},
-        {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, ParseState::Whole},
+        {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, ParseState::Complete},
         {"nothing", "", true, ParseState::Malformed},
     };
     for (const auto &item : cases) {
