--- a/Tests/Support/DuplicatingBackend.h
+++ b/Tests/Support/DuplicatingBackend.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A stand-in backend server that answers twice, the second time late: where the
-// answer to the next request on the connection is due.
+// A test backend server that answers a request twice. The duplicate is sent late, when the next request arrives on the same
+// connection, so that it stands where the answer to that request is expected.
 
 #pragma once
 
@@ -23,7 +23,7 @@
 
 class DuplicatingBackend;
 
-/** One connection to it. */
+/** Server side of one connection to a DuplicatingBackend. */
 class DuplicatingConnection : public Core::EventHandler
 {
 public:
@@ -45,18 +45,18 @@
     Wire::Socket socket;
     Wire::MessageParser parser{Wire::MessageKind::Request, {}};
     std::string input;
-    // Second answers that are yet to come.
-    std::vector<Wire::Response> owed;
+    // Duplicates that are sent when the next request arrives on this connection.
+    std::vector<Wire::Response> duplicates;
 };
 
-/** A run of a request, which waits for its answer. */
+/** One received request that a test has yet to answer. */
 struct DuplicatingRun {
     int number{0};
     Wire::Request request;
     std::shared_ptr<DuplicatingConnection> connection;
 };
 
-/** Notes each run; a test decides when it is answered, with what, and what is owed afterwards. */
+/** Records each received request. The test decides when and how it is answered and whether a duplicate of the answer follows. */
 class DuplicatingBackend : public Core::EventHandler, public std::enable_shared_from_this<DuplicatingBackend>
 {
 public:
@@ -79,15 +79,15 @@
         }
     }
 
-    /** Answers a run, and again when the next request comes over its connection: under the same id, with the same headers and `secondBody`. */
-    void answerTwice(const DuplicatingRun &run, Wire::Response response, const std::string &secondBody) const
+    /** Answers `run` now, and once more when the next request arrives on its connection, with the same request id and headers but with `secondBody`. */
+    void answerTwice(const DuplicatingRun &run, Wire::Response response, const std::string &duplicateBody) const
     {
         run.connection->write(response);
-        response.body = secondBody;
-        run.connection->owed.push_back(std::move(response));
+        response.body = duplicateBody;
+        run.connection->duplicates.push_back(std::move(response));
     }
 
-    /** Called with each run, once what is owed on its connection was sent. */
+    /** Called for each received request, after the duplicates that were due on its connection have been sent. */
     std::function<void(const DuplicatingRun &run)> onRun;
 
     LoopFixture &fixture;
@@ -106,8 +106,8 @@
         if (this->parser.state() != Wire::ParseState::Whole) {
             break;
         }
-        for (const auto &second : std::exchange(this->owed, {})) {
-            this->write(second);
+        for (const auto &duplicate : std::exchange(this->duplicates, {})) {
+            this->write(duplicate);
         }
         const auto &connections = this->backend.connections;
         const auto self = std::find_if(connections.begin(), connections.end(), [this](const auto &connection) {
--- a/Tests/Support/EntryFixture.h
+++ b/Tests/Support/EntryFixture.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// An entry instance's decisions on a manual clock and a fake transport, with
-// one declared service and replicas that have announced themselves.
+// Fixture for tests of an entry instance's decisions: EntryState on a manual clock and a fake transport, with one declared
+// service whose replicas have announced themselves.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 namespace TestSupport
 {
 
-/** What is declared and announced. */
+/** The declared service, its announced replicas and the options of the entry instance. */
 struct EntryFixtureOptions {
     std::int32_t shards{4};
     std::int32_t replicasPerShard{2};
@@ -27,7 +27,7 @@
     Entry::EntryOptions entry{};
 };
 
-/** Time, transport and state, ready for a request. */
+/** An entry instance that is ready to serve a request; the test moves the time and ends the attempts. */
 class EntryFixture
 {
 public:
@@ -42,7 +42,7 @@
         return Core::ServiceName("catalogue");
     }
 
-    /** The configuration becomes fresh once more. */
+    /** Delivers the configuration and renews its lease. */
     void declare()
     {
         Protocol::UrgencyClass urgencyClass;
@@ -69,7 +69,7 @@
         static_cast<void>(this->state.configuration.take(reply, this->time.now()));
     }
 
-    /** One replica's announcement. */
+    /** Makes an announcement of one replica with the next sequence number; it is not delivered yet. */
     Protocol::Announcement announcement(std::int32_t shard, std::int32_t replica, std::int64_t version, const std::string &map)
     {
         Protocol::Announcement announcement;
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Moves the time on with all systems running. */
+    /** Advances the time in steps of 1 ms, running due timers and expiring waiting sub-requests. */
     void advance(Core::Duration duration)
     {
         const Core::Instant end = this->time.now() + duration;
--- a/Tests/Support/FakeBackend.cpp
+++ b/Tests/Support/FakeBackend.cpp
@@ -50,7 +50,7 @@
         return tl::make_unexpected(server.error());
     }
     self.server = std::move(server.value());
-    // Spread over the period, so that a fleet started at once does not announce at once.
+    // The first announcement is spread over the period, so that backend servers started together do not announce together.
     const auto offset = Core::Duration(static_cast<Core::Duration::rep>(self.random() % static_cast<std::uint64_t>(self.options.announcePeriod.count())));
     self.announceTimer = timers.once(offset, [&self, &timers](Core::Instant) {
         self.announce();
@@ -121,7 +121,7 @@
     if (this->options.announceTo.empty()) {
         return;
     }
-    // The platform's balancer picks the entry instance.
+    // On the platform a load balancer selects the entry instance; here it is selected at random.
     Http::ClientRequest request;
     request.method = "POST";
     request.endpoint = this->options.announceTo[this->random() % this->options.announceTo.size()];
@@ -130,7 +130,7 @@
     request.body = Core::toText(Entry::announcementToJson(this->announcement()));
     request.headers = {{"Connection", "close"}};
     this->client.send(request, [](const Http::ClientResult &) {
-        // The next announcement goes to another instance.
+        // A lost announcement is not repeated: the next one is due after the period and may go to another instance.
     });
 }
 
@@ -143,7 +143,7 @@
         return;
     }
     if (request.path == "/fault") {
-        this->takeFault(request, responder);
+        this->handleFaultRequest(request, responder);
         return;
     }
     ++this->counts.requests;
@@ -164,7 +164,7 @@
     this->enqueue(request, responder);
 }
 
-void FakeBackend::takeFault(const Http::Request &request, const Http::ResponderPointer &responder)
+void FakeBackend::handleFaultRequest(const Http::Request &request, const Http::ResponderPointer &responder)
 {
     const auto document = Core::parseObject(request.body);
     if (!document.has_value()) {
@@ -260,7 +260,7 @@
     std::erase_if(this->queue, [id](const Work &work) {
         return work.id == id;
     });
-    // A running action goes on to its end, as a printer would; a search is dropped.
+    // A running action completes, since the side effect of an action cannot be undone; a search is cancelled.
     const auto found = this->running.find(id);
     if (found != this->running.end() && found->second.request.method == "GET") {
         this->running.erase(found);
@@ -270,7 +270,7 @@
 
 const FakeIndex &FakeBackend::index(const FakeSnapshot &snapshot)
 {
-    // Shared by all backend servers of one process; the content depends on nothing else.
+    // Shared by all backend servers of the process, since the content depends only on service, version and number of shards.
     struct Key {
         std::string service;
         std::int64_t version;
@@ -333,7 +333,7 @@
 Http::Response FakeBackend::executeAction(const Http::Request &request)
 {
     const std::string key = request.header(IdempotencyKey);
-    // NOTE: A real backend server may not notice a doubled action; this one counts them to find ours.
+    // NOTE: A real backend server may not detect a duplicate action; this one counts them so that tests find those the entry caused.
     if (!this->executedKeys.insert(key).second) {
         ++this->counts.duplicateActions;
     }
@@ -344,7 +344,7 @@
     return Http::Response{.status = 200, .body = Core::toText(document), .headers = {{Attempt, request.header(Attempt)}}};
 }
 
-// ---- Leaving
+// ---- Draining
 
 void FakeBackend::drain(std::function<void()> done)
 {
--- a/Tests/Support/FakeBackend.h
+++ b/Tests/Support/FakeBackend.h
@@ -3,9 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The model of one backend server: an in-memory index of a shard behind HTTP,
-// with slots, a connection cap, drain, shedding, deadlines, cancellation, and
-// faults that can be switched on while it runs.
+// Simulates one backend server: serves an in-memory index of a shard over HTTP, with slots, a connection cap, draining, load
+// shedding, deadlines, cancellation and faults that can be injected while it runs.
 
 #pragma once
 
@@ -28,7 +27,7 @@
 namespace TestSupport
 {
 
-/** One snapshot that is held. */
+/** A snapshot of one shard's index that the backend server holds. */
 struct FakeSnapshot {
     std::int64_t version{1};
     std::string shardMap{"map-1"};
@@ -36,19 +35,19 @@
     std::int32_t shard{0};
 };
 
-/** What goes wrong, changeable while it runs. */
+/** Injected faults; they can be changed while the backend server runs, by code or by a request to /fault. */
 struct FakeFaults {
     double stragglerPercent{0.0};
     double stragglerFactor{20.0};
-    /** none, attempt, shard, snapshot, truncated; or stale-content, which nobody but a caller who knows the index can see. */
+    /** One of none, attempt, shard, snapshot, truncated or stale-content. Only a caller that knows the index can detect stale-content. */
     std::string wrongReply{"none"};
-    /** true, zero, huge: what load reports say. */
+    /** Load in the announcements: true (the real one), zero or huge. */
     std::string loadReport{"true"};
-    /** Requests are taken and never answered. */
+    /** Requests are accepted and never answered. */
     bool frozen{false};
 };
 
-/** What the backend server is like. */
+/** Identity, capacity, timing and initial faults of a FakeBackend. */
 struct FakeBackendOptions {
     std::string service;
     std::string replica;
@@ -62,17 +61,17 @@
     Core::Duration serviceTime{Core::milliseconds(4)};
     /** The share of the service time that varies, exponentially distributed. */
     double variableShare{0.5};
-    /** After the start everything takes three times as long. */
+    /** For this time after the start each request takes three times as long. */
     Core::Duration warmupTime{0};
     std::size_t queueLimit{32};
     Core::Duration announcePeriod{Core::milliseconds(1000)};
-    /** Lines of executed actions are appended here; empty: nowhere. */
+    /** File that gets the idempotency key of each executed action, one per line. Empty: no file. */
     std::string actionLog;
     std::uint64_t seed{1};
     FakeFaults faults;
 };
 
-/** What it did. */
+/** Counts of what a FakeBackend did since its start. */
 struct FakeCounters {
     std::uint64_t requests{0};
     std::uint64_t executed{0};
@@ -83,7 +82,7 @@
     std::size_t maximumQueueLength{0};
 };
 
-/** Serves from create() until destroyed. */
+/** A backend server that serves from create() until its destruction. */
 class FakeBackend
 {
 public:
@@ -91,7 +90,7 @@
     FakeBackend(const FakeBackend &) = delete;
     FakeBackend &operator=(const FakeBackend &) = delete;
 
-    /** Announces that it leaves, refuses new work and calls `done` when nothing runs any more. */
+    /** Announces that it drains, refuses new requests and calls `done` once no request is running or queued. */
     void drain(std::function<void()> done);
 
     void setSnapshots(std::vector<FakeSnapshot> snapshots);
@@ -111,7 +110,7 @@
 
     FakeBackend(FakeBackendOptions options, Core::TimerService &timers);
     void handle(const Http::Request &request, const Http::ResponderPointer &responder);
-    void takeFault(const Http::Request &request, const Http::ResponderPointer &responder);
+    void handleFaultRequest(const Http::Request &request, const Http::ResponderPointer &responder);
     void enqueue(const Http::Request &request, const Http::ResponderPointer &responder);
     void startNext();
     void finishWork(std::uint64_t id);
--- a/Tests/Support/FakeControlCluster.cpp
+++ b/Tests/Support/FakeControlCluster.cpp
@@ -8,7 +8,7 @@
 namespace TestSupport
 {
 
-static constexpr Core::Duration Step = Core::milliseconds(5);
+static constexpr Core::Duration TimeStep = Core::milliseconds(5);
 
 FakeControlCluster::FakeControlCluster(std::size_t count, std::uint64_t seed, Control::ControlNodeOptions baseOptions)
     : random(seed), base(std::move(baseOptions))
@@ -81,7 +81,7 @@
 void FakeControlCluster::send(std::size_t from, const std::string &address, const Protocol::LogMessage &message)
 {
     for (std::size_t to = 0; to < this->slots.size(); ++to) {
-        if (addressOf(to) != address || this->chance(this->faults.lossPercent) || this->cuts.contains({from, to})) {
+        if (addressOf(to) != address || this->chance(this->faults.lossPercent) || this->blockedLinks.contains({from, to})) {
             continue;
         }
         const int copies = this->chance(this->faults.duplicatePercent) ? 2 : 1;
@@ -99,7 +99,7 @@
         auto &slot = *this->slots[packet.to];
         if (packet.due > this->time.now() || slot.paused) {
             later.push_back(std::move(packet));
-        } else if (slot.node && !this->cuts.contains({packet.from, packet.to})) {
+        } else if (slot.node && !this->blockedLinks.contains({packet.from, packet.to})) {
             slot.node->receive({packet.message});
         }
     }
@@ -110,7 +110,7 @@
 {
     const Core::Instant end = this->time.now() + duration;
     while (this->time.now() < end) {
-        this->time.advance(Step);
+        this->time.advance(TimeStep);
         this->deliverDue();
         for (auto &slot : this->slots) {
             if (slot->node && !slot->paused) {
@@ -167,12 +167,12 @@
     return this->slots[index]->paused;
 }
 
-void FakeControlCluster::partition(const std::set<std::size_t> &oneSide)
+void FakeControlCluster::partition(const std::set<std::size_t> &side)
 {
     for (std::size_t from = 0; from < this->slots.size(); ++from) {
         for (std::size_t to = 0; to < this->slots.size(); ++to) {
-            if (oneSide.contains(from) != oneSide.contains(to)) {
-                this->cuts.insert({from, to});
+            if (side.contains(from) != side.contains(to)) {
+                this->blockedLinks.insert({from, to});
             }
         }
     }
@@ -180,12 +180,12 @@
 
 void FakeControlCluster::cutOneWay(std::size_t from, std::size_t to)
 {
-    this->cuts.insert({from, to});
+    this->blockedLinks.insert({from, to});
 }
 
 void FakeControlCluster::heal()
 {
-    this->cuts.clear();
+    this->blockedLinks.clear();
 }
 
 }
--- a/Tests/Support/FakeControlCluster.h
+++ b/Tests/Support/FakeControlCluster.h
@@ -3,9 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Control instances on fake disks and a fake network, all driven by one manual
-// clock: messages are lost, doubled, delayed and cut off; instances crash, stop
-// for a while, and lose their disks.
+// Simulates a cluster of control instances in one process, with simulated disks, a simulated network and one manual clock.
+// Messages can be lost, duplicated, delayed or blocked by a partition; instances can crash, pause or lose their disks.
 
 #pragma once
 
@@ -23,42 +22,44 @@
 namespace TestSupport
 {
 
-/** How bad the network is. */
+/** Faults of the simulated network. */
 struct NetworkFaults {
     double lossPercent{0.0};
     double duplicatePercent{0.0};
     Core::Duration longestDelay{Core::milliseconds(5)};
 };
 
-/** A few control instances in one process. */
+/** Control instances with their disks and the network between them; all chance comes from one seed. */
 class FakeControlCluster
 {
 public:
     FakeControlCluster(std::size_t count, std::uint64_t seed, Control::ControlNodeOptions base = {});
 
-    /** Founds the log on the first `initialMembers` instances. */
+    /** Bootstraps the log with the first `initialMembers` instances as its initial members. */
     void bootstrap(std::size_t initialMembers);
 
-    /** Moves the time on in small steps. */
+    /** Advances the time in steps of 5 ms, delivering due messages and running due timers in each step. */
     void run(Core::Duration duration);
 
-    /** Runs until some instance leads and has committed in its term. Returns its index, or nothing after `limit`. */
+    /** Runs until an instance is the leader and has committed an entry in its term. Returns its index, or nothing if there is none within `limit`. */
     std::optional<std::size_t> awaitLeader(Core::Duration limit = Core::seconds(20));
 
-    /** The instance, or nullptr while it is down. */
+    /** The instance, or nullptr while it is stopped by crash(). */
     [[nodiscard]] Control::ControlNode *node(std::size_t index);
     [[nodiscard]] FakeFolder &folder(std::size_t index);
     [[nodiscard]] std::size_t count() const;
 
+    /** Stops an instance at once; data that was not synced may be lost (FakeFolder::crash()). */
     void crash(std::size_t index);
-    /** Starts an instance that is down. Fails when its storage refuses. */
+    /** Starts a crashed instance from its folder. Fails if the storage cannot be opened. */
     [[nodiscard]] Core::Result<void> restart(std::size_t index);
-    /** The instance does nothing until resumed; what was sent to it waits. */
+    /** Halts an instance until resume(); messages to it are queued. */
     void pause(std::size_t index);
     void resume(std::size_t index);
     [[nodiscard]] bool isPaused(std::size_t index) const;
-    /** Instances on different sides do not hear each other. */
-    void partition(const std::set<std::size_t> &oneSide);
+    /** Drops all messages between the instances in `side` and the other instances, until heal(). */
+    void partition(const std::set<std::size_t> &side);
+    /** Drops the messages of one direction until heal(). */
     void cutOneWay(std::size_t from, std::size_t to);
     void heal();
 
@@ -88,7 +89,7 @@
     Control::ControlNodeOptions base;
     std::vector<std::unique_ptr<Slot>> slots;
     std::deque<Packet> packets;
-    std::set<std::pair<std::size_t, std::size_t>> cuts;
+    std::set<std::pair<std::size_t, std::size_t>> blockedLinks;
 };
 
 }
--- a/Tests/Support/FakeFolder.cpp
+++ b/Tests/Support/FakeFolder.cpp
@@ -8,10 +8,10 @@
 namespace TestSupport
 {
 
-Core::Result<void> FakeFolder::step()
+Core::Result<void> FakeFolder::countChange()
 {
     ++this->changeCount;
-    if (this->failingFrom >= 0 && this->changeCount > this->failingFrom) {
+    if (this->failAfterChange >= 0 && this->changeCount > this->failAfterChange) {
         return Core::failure(Core::ErrorKind::Storage, "the disk fails on purpose");
     }
     return {};
@@ -37,7 +37,7 @@
 
 Core::Result<void> FakeFolder::append(const std::string &name, std::string_view bytes)
 {
-    auto outcome = this->step();
+    auto outcome = this->countChange();
     if (!outcome.has_value()) {
         return outcome;
     }
@@ -47,7 +47,7 @@
 
 Core::Result<void> FakeFolder::sync(const std::string &name)
 {
-    auto outcome = this->step();
+    auto outcome = this->countChange();
     if (!outcome.has_value()) {
         return outcome;
     }
@@ -58,7 +58,7 @@
 
 Core::Result<void> FakeFolder::replace(const std::string &name, std::string_view bytes)
 {
-    auto outcome = this->step();
+    auto outcome = this->countChange();
     if (!outcome.has_value()) {
         return outcome;
     }
@@ -68,19 +68,19 @@
 
 Core::Result<void> FakeFolder::truncate(const std::string &name, std::uint64_t length)
 {
-    auto outcome = this->step();
+    auto outcome = this->countChange();
     if (!outcome.has_value()) {
         return outcome;
     }
     auto &file = this->files[name];
-    const std::string whole = file.durable + file.pending;
-    file = File{.durable = whole.substr(0, length), .pending = {}};
+    const std::string stored = file.durable + file.pending;
+    file = File{.durable = stored.substr(0, length), .pending = {}};
     return {};
 }
 
 Core::Result<void> FakeFolder::remove(const std::string &name)
 {
-    auto outcome = this->step();
+    auto outcome = this->countChange();
     if (!outcome.has_value()) {
         return outcome;
     }
@@ -91,13 +91,13 @@
 void FakeFolder::crash(std::mt19937_64 &random)
 {
     for (auto &[name, file] : this->files) {
-        std::string left = file.pending.substr(0, random() % (file.pending.size() + 1));
-        const bool asZeros = random() % 4 == 0 && left.size() > 256;
-        if (asZeros) {
-            // The length was written, the last blocks were not.
-            std::fill(left.end() - 128, left.end(), '\0');
+        std::string remaining = file.pending.substr(0, random() % (file.pending.size() + 1));
+        const bool endIsZero = random() % 4 == 0 && remaining.size() > 256;
+        if (endIsZero) {
+            // The file's length reached the disk, but its last blocks did not.
+            std::fill(remaining.end() - 128, remaining.end(), '\0');
         }
-        file.durable += left;
+        file.durable += remaining;
         file.pending.clear();
     }
 }
@@ -109,12 +109,12 @@
 
 void FakeFolder::failAfter(int operations)
 {
-    this->failingFrom = this->changeCount + operations;
+    this->failAfterChange = this->changeCount + operations;
 }
 
 void FakeFolder::failNever()
 {
-    this->failingFrom = -1;
+    this->failAfterChange = -1;
 }
 
 void FakeFolder::flipBit(const std::string &name, std::size_t byte, unsigned bit)
--- a/Tests/Support/FakeFolder.h
+++ b/Tests/Support/FakeFolder.h
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A data folder in memory that loses at a crash what was not synced, and fails
-// on demand.
+// Simulates a data folder in memory. A simulated crash loses data that was not synced, and operations can be made to fail.
 
 #pragma once
 
@@ -16,7 +15,7 @@
 namespace TestSupport
 {
 
-/** Keeps for each file what would survive and what would not. */
+/** Keeps the synced and the unsynced content of each file apart. */
 class FakeFolder final : public Storage::Folder
 {
 public:
@@ -28,20 +27,21 @@
     [[nodiscard]] Core::Result<void> truncate(const std::string &name, std::uint64_t length) override;
     [[nodiscard]] Core::Result<void> remove(const std::string &name) override;
 
-    /** The power goes: of what was not synced any prefix may be left, its end perhaps as zeros. */
+    /** Simulates a power failure: of each file's unsynced content a random prefix remains, the end of which may be read as zeros. */
     void crash(std::mt19937_64 &random);
 
-    /** All files are gone, as after the loss of a disk. */
+    /** Removes all files, as the loss of a disk would. */
     void wipe();
 
-    /** After this many more changing operations every one fails, as on a full or broken disk. */
+    /** Lets this many more changing operations succeed, then fails each of them, as a full or broken disk would. */
     void failAfter(int operations);
     void failNever();
 
-    /** Changes one stored bit. */
+    /** Flips one bit of a file's synced content. */
     void flipBit(const std::string &name, std::size_t byte, unsigned bit);
 
     [[nodiscard]] std::size_t size(const std::string &name) const;
+    /** Number of changing operations so far, failed ones included. */
     [[nodiscard]] int changes() const;
 
 private:
@@ -50,11 +50,11 @@
         std::string pending;
     };
 
-    [[nodiscard]] Core::Result<void> step();
+    [[nodiscard]] Core::Result<void> countChange();
 
     std::map<std::string, File> files;
     int changeCount{0};
-    int failingFrom{-1};
+    int failAfterChange{-1};
 };
 
 }
--- a/Tests/Support/FakeIndex.cpp
+++ b/Tests/Support/FakeIndex.cpp
@@ -34,7 +34,7 @@
 
 static std::uint64_t hashOf(const std::string &text)
 {
-    // FNV-1a: the index needs spread, not secrecy.
+    // FNV-1a suffices: the hash has to be evenly distributed, not secure.
     std::uint64_t hash = 14695981039346656037ULL;
     for (const char character : text) {
         hash = (hash ^ static_cast<std::uint8_t>(character)) * 1099511628211ULL;
@@ -74,7 +74,7 @@
         }
         document.title = fmt::format("{} {} {} revision {}", document.words[0], document.words[1], document.words[2], version);
         document.shard = Core::shardOfKey(document.id, shardCount);
-        // Weights change with the version, so an answer mixed from two versions ranks visibly wrong.
+        // The weight depends on the version, so that an answer mixed from two versions has a detectably wrong order.
         document.weight = static_cast<double>(hashOf(document.id + ":" + std::to_string(version)) % 1'000'003) / 1'000'003.0;
         this->documents.push_back(std::move(document));
     }
--- a/Tests/Support/FakeIndex.h
+++ b/Tests/Support/FakeIndex.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A small deterministic index: whoever knows service, version and number of
-// shards can work out the right answer to any query.
+// A small deterministic search index. Its content follows from service, version and number of shards, so that a test or a load
+// client can compute the right answer to any query.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 namespace TestSupport
 {
 
-/** One document as a hit. */
+/** A document in the answer to a search. */
 struct FakeHit {
     std::string id;
     double score{0.0};
@@ -34,16 +34,17 @@
 
     FakeIndex(std::string service, std::int64_t version, std::int32_t shardCount);
 
-    /** The best hits of some shards: by score downwards, equal scores by id upwards. */
+    /** The `limit` best hits of `shards`, ordered by falling score, then by rising id. */
     [[nodiscard]] std::vector<FakeHit> search(const std::string &query, std::size_t limit, const std::set<std::int32_t> &shards) const;
 
-    /** The shard that holds a document, or -1 when there is none of this id. */
+    /** The shard that holds the document, or -1 if there is no document with this id. */
     [[nodiscard]] std::int32_t shardOf(const std::string &id) const;
+    /** The title of the document, empty if there is no document with this id. */
     [[nodiscard]] std::string titleOf(const std::string &id) const;
 
     [[nodiscard]] static std::string documentId(const std::string &service, std::int32_t number);
 
-    /** Some words that find something. */
+    /** A query that has hits; `number` selects one of the examples. */
     [[nodiscard]] static std::string exampleQuery(std::uint32_t number);
 
 private:
--- a/Tests/Support/FakeTransport.h
+++ b/Tests/Support/FakeTransport.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A backend transport under a test's control: attempts wait until the test
-// says how they end.
+// Test doubles for the connections of an entry instance: to backend servers (FakeTransport) and to control instances
+// (FakeControl). Attempts and calls stay open until the test ends them.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 namespace TestSupport
 {
 
-/** Keeps every attempt until answer(), refuse() or fail() is called on it. */
+/** Records every attempt and keeps it open until answer(), refuse(), fail() or end() is called with its position. */
 class FakeTransport final : public Entry::BackendTransport
 {
 public:
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Ends an attempt, unless it was cancelled. */
+    /** Ends an attempt with `result`, unless it was cancelled or has ended. */
     void end(std::size_t position, Entry::AttemptResult result)
     {
         auto &entry = this->sent[position];
@@ -82,7 +82,7 @@
     std::vector<Sent> sent;
 };
 
-/** Control instances under a test's control: calls wait until the test answers them. */
+/** Records claims and settlements and keeps them open until the test answers them; follow() is never answered. */
 class FakeControl final : public Entry::ControlAccess
 {
 public:
@@ -111,7 +111,7 @@
 
     void tryAnotherInstance(const std::string &) override
     {
-        ++this->elsewhere;
+        ++this->instanceSwitches;
     }
 
     void answerClaim(std::size_t position, Protocol::ClaimStatus::type status)
@@ -138,7 +138,7 @@
 
     std::deque<Claim> claims;
     std::deque<Settlement> settlements;
-    int elsewhere{0};
+    int instanceSwitches{0};
 };
 
 }
--- a/Tests/Support/GatewayFixture.h
+++ b/Tests/Support/GatewayFixture.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A pool of backend servers on the loopback interface whose every answer a test
-// decides, and requests over them.
+// Fixture for tests of single gateway requests: a pool of backend servers on the loopback interface whose answers are scripted by
+// the test, and requests that are sent to them.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 namespace TestSupport
 {
 
-/** A stand-in backend server: notes requests and answers each as its script says. */
+/** A test backend server that records requests and answers each by calling its script. */
 class ScriptedBackend
 {
 public:
@@ -28,11 +28,11 @@
 
     ScriptedBackend(LoopFixture &fixture, std::string id, Script script) : id(std::move(id)), script(std::move(script))
     {
-        auto listening = this->listen(fixture);
-        for (int tries = 1; !listening.has_value() && tries < MostTries; ++tries) {
-            listening = this->listen(fixture);
+        auto listened = this->listen(fixture);
+        for (int attempts = 1; !listened.has_value() && attempts < MaximumAttempts; ++attempts) {
+            listened = this->listen(fixture);
         }
-        this->server = listening.value();
+        this->server = listened.value();
     }
 
     std::string id;
@@ -42,8 +42,8 @@
     std::shared_ptr<Wire::Server> server;
 
 private:
-    // Test programs run side by side, and one may take a port that another has just found to be free.
-    static constexpr int MostTries = 20;
+    // Listening is retried, because a test program that runs in parallel may bind the port after freeEndpoint() has found it free.
+    static constexpr int MaximumAttempts = 20;
 
     [[nodiscard]] Core::Result<std::shared_ptr<Wire::Server>> listen(LoopFixture &fixture)
     {
@@ -61,7 +61,7 @@
     }
 };
 
-/** A stand-in for a backend server that has as many connections as it takes: accepts each new one and ends it. */
+/** A test backend server at its connection cap: accepts each new connection and closes it at once. */
 class FullBackend : public Core::EventHandler, public std::enable_shared_from_this<FullBackend>
 {
 public:
@@ -86,7 +86,7 @@
     int connectionRejected{0};
 };
 
-/** What every answer says: the request's id, and between gateways the name of the send. */
+/** The headers that every answer carries: the request's id and, between gateways, the name of the send. */
 [[nodiscard]] inline Wire::Headers answerHeaders(const Wire::Request &request)
 {
     Wire::Headers headers{{"Request-Id", *Wire::findHeader(request.headers, "Request-Id")}};
@@ -96,7 +96,7 @@
     return headers;
 }
 
-/** An answer as a backend server of the platform gives it. */
+/** A success response in the platform's format, with its signature. */
 [[nodiscard]] inline Wire::Response successResponse(const Wire::Request &request, const std::string &signature, const std::string &body)
 {
     Wire::Response response{.status = 200, .headers = answerHeaders(request), .body = body};
@@ -104,7 +104,7 @@
     return response;
 }
 
-/** Another gateway's answer to a part of a search. */
+/** The answer of a serving gateway to a part of a search. */
 [[nodiscard]] inline Wire::Response partOf(const Wire::Request &request, const Protocol::PartialAnswer &part)
 {
     Wire::Response response{.status = 200, .headers = answerHeaders(request), .body = Rpc::serialize(part)};
@@ -112,7 +112,7 @@
     return response;
 }
 
-/** A failure; with `notExecuted` the backend server says that it did not run the request. */
+/** An error response; with `notExecuted` it states that the request was not executed. */
 [[nodiscard]] inline Wire::Response errorResponse(const Wire::Request &request, int status, bool notExecuted)
 {
     Wire::Response response{.status = status, .headers = answerHeaders(request), .body = {}};
@@ -122,7 +122,7 @@
     return response;
 }
 
-/** Pool, route and settings; a test adds backend servers and starts requests. */
+/** A gateway's pool, route and settings. A test adds backend servers and starts one request at a time. */
 class GatewayFixture : public LoopFixture
 {
 public:
@@ -146,7 +146,7 @@
         return options;
     }
 
-    /** The one route; to be changed before the first request. */
+    /** The route of all requests. Each request uses the route as it is when begin() is called. */
     Fleet::Route &route()
     {
         return this->editableRoute;
@@ -157,7 +157,7 @@
         return this->addTo(this->pool, service, id, std::move(script));
     }
 
-    /** Another gateway, which is asked for the shards that `relayed` names. */
+    /** Adds a serving gateway, to which the parts for the shards in `relayed` are relayed. */
     ScriptedBackend &addGateway(ScriptedBackend::Script script)
     {
         return this->addTo(this->relays, Gateway::relayService("there").value(), "gateway", std::move(script));
@@ -192,7 +192,7 @@
         target.update(record);
     }
 
-    /** Starts a request for the route and returns when it has its answer. */
+    /** Starts a request for the route and runs the loop until it is answered. Returns an empty response if no answer came. */
     Wire::Response ask(const std::string &id, const std::string &method = "GET")
     {
         this->begin(id, method);
@@ -255,11 +255,11 @@
     Gateway::Dialect dialect;
     Gateway::Dialect relayDialect{Gateway::makeRelayDialect(this->dialect)};
     std::vector<Core::ServiceName> relayed;
-    // For how many targets parts are waited for.
+    // Timeout of a relayed part, in target latencies.
     int timeoutInTargets{4};
-    // Gateways that own what is relayed.
+    // Gateways that the relayed part should be sent to, the preferred one first. Empty: any gateway of the zone.
     std::vector<Gateway::BackendName> owners;
-    // Set when another gateway asks; it wants as many records as the route says where it does not say itself.
+    // Set if the request comes from another gateway. If its number of top records is 0, that of the route is used.
     std::optional<Gateway::RelayParameters> relayParameters;
     Gateway::BackendPool pool;
     Gateway::BackendPool *usedPool{&this->pool};
--- a/Tests/Support/LoopFixture.h
+++ b/Tests/Support/LoopFixture.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A real loop with real sockets on the loopback interface, for tests of what
-// goes over the wire. Tests wait for conditions, never for times.
+// Fixture for tests that send data over sockets: an event loop with sockets on the loopback interface. Tests wait for conditions
+// rather than for fixed times.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 namespace TestSupport
 {
 
-/** A loop that runs while a test waits. */
+/** An event loop that runs only inside runUntil() and settle(). */
 class LoopFixture
 {
 public:
@@ -32,27 +32,27 @@
     {
     }
 
-    /** Runs the loop until the condition holds. Returns whether it came to hold before a generous limit. */
+    /** Runs the loop until `condition` holds, for 20 s at most. Returns whether it holds. */
     [[nodiscard]] bool runUntil(const std::function<bool()> &condition)
     {
-        bool tooLong = false;
-        const auto limit = this->timers.once(Core::seconds(20), [&tooLong](Core::Instant) {
-            tooLong = true;
+        bool timedOut = false;
+        const auto limit = this->timers.once(Core::seconds(20), [&timedOut](Core::Instant) {
+            timedOut = true;
         });
-        while (!condition() && !tooLong) {
+        while (!condition() && !timedOut) {
             g_main_context_iteration(this->context, TRUE);
         }
         return condition();
     }
 
-    /** Lets everything happen that is due, and a while of what follows. */
+    /** Runs the loop for `duration`, so that due events and those that they cause are handled. */
     void settle(Core::Duration duration = Core::milliseconds(100))
     {
-        bool over = false;
-        const auto end = this->timers.once(duration, [&over](Core::Instant) {
-            over = true;
+        bool elapsed = false;
+        const auto end = this->timers.once(duration, [&elapsed](Core::Instant) {
+            elapsed = true;
         });
-        while (!over) {
+        while (!elapsed) {
             g_main_context_iteration(this->context, TRUE);
         }
     }
@@ -63,7 +63,7 @@
     std::unique_ptr<Core::EventPoll> poll;
 };
 
-/** A free port of the loopback interface. */
+/** Finds a free port of the loopback interface. The port is not reserved: another program may bind it first. */
 [[nodiscard]] inline Core::Endpoint freeEndpoint()
 {
     const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
--- a/Tests/Support/ManualTime.h
+++ b/Tests/Support/ManualTime.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A clock that stands still until a test moves it, and the timers on it.
+// A clock that advances only when a test says so, and a timer service that uses it.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 namespace TestSupport
 {
 
-/** Time under a test's control. */
+/** Manually advanced time with its timers. */
 class ManualTime
 {
 public:
@@ -20,7 +20,7 @@
     {
     }
 
-    /** Reads this time; the wall clock moves along, from a fixed date. */
+    /** A clock that reads this time. Its wall clock advances equally, from a fixed date. */
     [[nodiscard]] Core::Clock clock()
     {
         return Core::Clock{
@@ -45,7 +45,7 @@
         return this->time;
     }
 
-    /** Moves the time on, stopping at each timer that is due on the way. */
+    /** Advances the time by `duration` and runs each timer that falls due at its own time. */
     void advance(Core::Duration duration)
     {
         const Core::Instant end = this->time + duration;
--- a/Tests/Support/NodeFixture.h
+++ b/Tests/Support/NodeFixture.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Whole gateways on the loopback interface, with a coordinator that a test fills,
-// and callers that send what they like.
+// Fixture for tests of whole gateways on the loopback interface, with a test coordinator whose state the test sets, and a method
+// that sends callers' requests.
 
 #pragma once
 
@@ -19,27 +19,27 @@
 namespace TestSupport
 {
 
-/** Tells every gateway of all backend servers, gateways and the newest declaration, and confirms it. */
+/** A test coordinator that sends every watcher all backend servers and gateways and the newest declaration, always as confirmed. */
 class SteadyCoordinator : public Protocol::CoordinatorCobSvIf
 {
 public:
     explicit SteadyCoordinator(LoopFixture &fixture) : endpoint(freeEndpoint()), timers(fixture.timers)
     {
-        // The server must not own what owns it.
-        const std::shared_ptr<SteadyCoordinator> unowned(this, [](SteadyCoordinator *) {
+        // The server holds a non-owning pointer, since this object owns the server.
+        const std::shared_ptr<SteadyCoordinator> nonOwning(this, [](SteadyCoordinator *) {
         });
         this->server = Rpc::RpcServer::create(
-            {.name = "watch", .endpoint = this->endpoint, .processor = std::make_shared<Protocol::CoordinatorAsyncProcessor>(unowned), .limits = {}},
+            {.name = "watch", .endpoint = this->endpoint, .processor = std::make_shared<Protocol::CoordinatorAsyncProcessor>(nonOwning), .limits = {}},
             fixture.timers)
                            .value();
     }
 
     void watch(std::function<void(Protocol::WatchReply const &)> callback, const Protocol::WatchRequest &request) override
     {
-        if (request.__isset.gateway && !this->isSilent) {
+        if (request.__isset.gateway && !this->ignoresAnnouncements) {
             this->gateways.merge(request.gateway, this->timers.now());
         }
-        // Asked again at once after each answer, so each is held for a moment.
+        // Gateways repeat a watch request as soon as it is answered, so each is held for 10 ms to limit their rate.
         this->held.push_back(this->timers.once(Core::milliseconds(10), [this, callback = std::move(callback), request](Core::Instant now) {
             callback(this->replyTo(request, now));
         }));
@@ -59,8 +59,8 @@
     Core::Endpoint endpoint;
     Fleet::BackendRegistry backends;
     Fleet::BackendRegistry gateways;
-    // Takes no gateway's presence over.
-    bool isSilent{false};
+    // Announcements of gateways are not merged while this is set.
+    bool ignoresAnnouncements{false};
 
 private:
     [[nodiscard]] Protocol::WatchReply replyTo(const Protocol::WatchRequest &request, Core::Instant now) const
@@ -88,7 +88,7 @@
     std::unique_ptr<Rpc::RpcServer> server;
 };
 
-/** A gateway with its listeners. */
+/** A gateway with its listeners for callers and for other gateways. */
 class NodeUnderTest
 {
 public:
@@ -105,7 +105,7 @@
     }
 
     Core::Endpoint callerEndpoint;
-    // What other gateways brought.
+    // Parts that other gateways relayed to this one.
     std::vector<Wire::Request> relayed;
     Gateway::GatewayNode node;
 
@@ -119,7 +119,7 @@
     std::shared_ptr<Wire::Server> relay;
 };
 
-/** A coordinator, gateways and backend servers. */
+/** A test coordinator, gateways and scripted backend servers. */
 class NodeFixture : public LoopFixture
 {
 public:
@@ -157,7 +157,7 @@
         return *this->backends.back();
     }
 
-    /** Waits until all gateways are ready and know of each other. */
+    /** Runs the loop until every gateway is ready and has learned of all gateways. Returns whether this came to hold. */
     [[nodiscard]] bool awaitReady()
     {
         return this->runUntil([this] {
@@ -167,8 +167,8 @@
         });
     }
 
-    /** A caller's request and its answer; status 0 when none came. */
-    Wire::Response ask(const NodeUnderTest &asked, const std::string &target, Wire::Headers headers = {})
+    /** Sends a caller's request to `asked` and returns the answer, with status 0 if none came. */
+    Wire::Response ask(const NodeUnderTest &gateway, const std::string &target, Wire::Headers headers = {})
     {
         headers.push_back({"Host", "h.example"});
         headers.push_back({"Request-Id", "request-" + std::to_string(++this->lastRequest)});
@@ -176,8 +176,8 @@
         std::string bytes;
         Wire::appendRequest(bytes, {.method = "GET", .target = target, .headers = std::move(headers), .body = {}});
         Wire::Response answer;
-        bool over = false;
-        const auto connection = Wire::ClientConnection::create({.endpoint = asked.callerEndpoint}, *this->poll, this->timers).value();
+        bool ended = false;
+        const auto connection = Wire::ClientConnection::create({.endpoint = gateway.callerEndpoint}, *this->poll, this->timers).value();
         connection->send({.bytes = std::move(bytes),
             .recognise =
                 [](const Wire::Response &) {
@@ -185,11 +185,11 @@
                 },
             .done =
                 [&](Wire::ClientResult result) {
-                    over = true;
+                    ended = true;
                     answer = std::move(result.response);
                 }});
-        (void)this->runUntil([&over] {
-            return over;
+        (void)this->runUntil([&ended] {
+            return ended;
         });
         return answer;
     }
--- a/Utilities/crankctl/ConfigurationFile.cpp
+++ b/Utilities/crankctl/ConfigurationFile.cpp
@@ -33,7 +33,7 @@
 namespace
 {
 
-/** Reads members and keeps the first error with its place. */
+/** Reads members of a JSON object into fields and keeps the first error, with the path of the object. */
 class Reader
 {
 public:
@@ -43,12 +43,12 @@
 
     void text(const char *name, std::string &target)
     {
-        this->keep(Core::textMember(this->object, name), target);
+        this->store(Core::textMember(this->object, name), target);
     }
 
     void integer(const char *name, std::int32_t &target)
     {
-        this->keep(Core::integerMember(this->object, name, INT32_MIN, INT32_MAX), target);
+        this->store(Core::integerMember(this->object, name, INT32_MIN, INT32_MAX), target);
     }
 
     void number(const char *name, double &target)
@@ -96,7 +96,7 @@
 
 private:
     template<typename Value, typename Target>
-    void keep(const Core::Result<Value> &result, Target &target)
+    void store(const Core::Result<Value> &result, Target &target)
     {
         if (result.has_value()) {
             target = static_cast<Target>(result.value());
--- a/Utilities/crankctl/ConfigurationFile.h
+++ b/Utilities/crankctl/ConfigurationFile.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The configuration as operators write it in a file: JSON, every member checked.
+// Converts the configuration between the JSON file that operators write and the Thrift structure.
 
 #pragma once
 
@@ -14,10 +14,10 @@
 namespace CrankCtl
 {
 
-/** Reads a file's text. Unknown members are errors, so that a misspelt one is not passed over. */
+/** Parses the text of a configuration file. Unknown members are errors, so that a misspelt member is reported instead of ignored. */
 [[nodiscard]] Core::Result<Protocol::Configuration> configurationFromText(const std::string &text);
 
-/** The document that configurationFromText() reads. */
+/** Makes a document that configurationFromText() can parse. */
 [[nodiscard]] nlohmann::json configurationToJson(const Protocol::Configuration &configuration);
 
 }
--- a/Utilities/crankctl/OperatorConnection.cpp
+++ b/Utilities/crankctl/OperatorConnection.cpp
@@ -13,8 +13,8 @@
 namespace CrankCtl
 {
 
-static constexpr int MaximumRounds = 20;
-static constexpr std::chrono::milliseconds RoundPause{250};
+static constexpr int MaximumAttempts = 20;
+static constexpr std::chrono::milliseconds RetryDelay{250};
 
 OperatorConnection::OperatorConnection(std::vector<Core::Endpoint> instances, std::chrono::milliseconds timeout)
     : endpoints(std::move(instances)), timeout(timeout)
@@ -48,8 +48,8 @@
 Core::Result<void> OperatorConnection::callLeader(const std::function<std::string(Protocol::OperatorClient &client)> &call) const
 {
     Core::Endpoint target = this->endpoints.front();
-    std::string lastError = "no control instance leads at the moment";
-    for (int round = 0; round < MaximumRounds; ++round) {
+    std::string lastError = "no control instance is the leader";
+    for (int attempt = 0; attempt < MaximumAttempts; ++attempt) {
         std::string hint;
         const auto outcome = this->callOne(target, [&call, &hint](Protocol::OperatorClient &client) {
             hint = call(client);
@@ -65,8 +65,8 @@
             target = leader.value();
             continue;
         }
-        target = this->endpoints[static_cast<std::size_t>(round + 1) % this->endpoints.size()];
-        std::this_thread::sleep_for(RoundPause);
+        target = this->endpoints[static_cast<std::size_t>(attempt + 1) % this->endpoints.size()];
+        std::this_thread::sleep_for(RetryDelay);
     }
     return Core::failure(Core::ErrorKind::Unreachable, lastError);
 }
--- a/Utilities/crankctl/OperatorConnection.h
+++ b/Utilities/crankctl/OperatorConnection.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Calls control instances one after the other until one answers as the leader.
+// Calls control instances, either a given one or whichever is the leader.
 
 #pragma once
 
@@ -18,18 +18,19 @@
 namespace CrankCtl
 {
 
-/** Blocking calls; this is a command, not a daemon. */
+/** Makes blocking calls, since crankctl is a command that does one thing at a time. Each call opens a connection of its own. */
 class OperatorConnection
 {
 public:
     OperatorConnection(std::vector<Core::Endpoint> instances, std::chrono::milliseconds timeout);
 
-    /** One call to one instance. Fails with Unreachable when it does not answer. */
+    /** Makes one call to one instance. Fails with Unreachable if the instance does not answer within the timeout. */
     [[nodiscard]] Core::Result<void> callOne(const Core::Endpoint &instance, const std::function<void(Protocol::OperatorClient &client)> &call) const;
 
     /**
-     * Calls instances until `call` returns an empty text. Another text is the
-     * leader's address as the instance knows it, or "?" when it knows none.
+     * Calls instances until `call` returns an empty text, which means that the leader answered. Otherwise `call` returns the leader's
+     * address as the called instance knows it, which is called next, or "?" if that instance knows none. Fails with Unreachable after
+     * 20 attempts.
      */
     [[nodiscard]] Core::Result<void> callLeader(const std::function<std::string(Protocol::OperatorClient &client)> &call) const;
 
--- a/Utilities/crankctl/main.cpp
+++ b/Utilities/crankctl/main.cpp
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The operators' command line: every verb is a thin step to the remote
-// procedures in operator.thrift.
+// The operators' command line. Each verb calls remote procedures of operator.thrift and prints the result.
 
 #include "ConfigurationFile.h"
 #include "OperatorConnection.h"
@@ -25,18 +24,18 @@
 namespace
 {
 
-/** Exit codes beside those of Core::ExitCode; listed in docs/OPERATING.md. */
+/** Exit codes of crankctl, in place of those of Core::ExitCode; listed in docs/OPERATING.md. */
 enum class CommandExit {
     Success = 0,
     Failure = 1,
     Usage = 2,
-    /** The change is in conflict, invalid, or reuses an id. */
+    /** The change conflicts with a later revision, is invalid, or reuses the id of another change. */
     Refused = 3,
-    /** What became of the change is not known; resend with the same --change-id. */
+    /** The outcome of the change is unknown; it has to be resent with the same --change-id. */
     Unknown = 4,
 };
 
-/** Values that some verbs use. */
+/** Values of the command-line settings; each verb uses some of them. */
 struct CommandSettings {
     std::vector<Core::Endpoint> control;
     std::int64_t timeoutMilliseconds{0};
@@ -47,7 +46,7 @@
     std::string dryRun;
 };
 
-/** A verb's place in the table. */
+/** A verb with its help and the function that runs it. */
 struct Verb {
     const char *name;
     const char *arguments;
@@ -111,7 +110,7 @@
     }
 }
 
-// Without --base-revision the change is based on what is current now.
+// The leader's current revision, which a change is based on if --base-revision is not set.
 static Core::Result<std::int64_t> currentRevision(const OperatorConnection &connection)
 {
     std::int64_t revision = 0;
@@ -139,11 +138,11 @@
         request.baseRevision = revision.value();
     }
     Protocol::ApplyOutcome outcome;
-    // A lost answer is asked for again with the same id, which is what the id is for.
+    // The change is resent if its answer is lost. The id makes this safe, since the leader accepts each change id only once.
     const auto sent = connection.callLeader([&request, &outcome](Protocol::OperatorClient &client) -> std::string {
         client.apply(outcome, request);
-        const bool askAgain = outcome.status == Protocol::ApplyStatus::NOT_LEADER || outcome.status == Protocol::ApplyStatus::UNKNOWN;
-        return !askAgain ? std::string() : outcome.leaderAddress.empty() ? "?" : outcome.leaderAddress;
+        const bool mustResend = outcome.status == Protocol::ApplyStatus::NOT_LEADER || outcome.status == Protocol::ApplyStatus::UNKNOWN;
+        return !mustResend ? std::string() : outcome.leaderAddress.empty() ? "?" : outcome.leaderAddress;
     });
     if (!sent.has_value()) {
         fmt::print(stderr, "change_id={} {}\n", request.changeId, sent.error().message);
@@ -273,7 +272,7 @@
 static CommandExit drain(const OperatorConnection &connection, const CommandSettings &, const std::vector<std::string> &)
 {
     if (connection.instances().size() != 1) {
-        return usage("drain stops the instance that --control names; name just one");
+        return usage("drain needs exactly one instance in --control");
     }
     const auto outcome = connection.callOne(connection.instances().front(), [](Protocol::OperatorClient &client) {
         client.drain();
@@ -297,7 +296,7 @@
             return fail(outcome.error());
         }
         if (reply.initialised) {
-            // Begun before and interrupted: the list of the first run holds.
+            // An earlier bootstrap was interrupted. Its list of initial members is used, since every member must get the same list.
             initialMembers = reply.membership;
             break;
         }
@@ -398,11 +397,11 @@
         {"apply", "FILE", "Makes the configuration in FILE the current one. Uses --change-id, --base-revision, --dry-run.", apply},
         {"rollback", "REVISION", "Makes an earlier revision's content the current one, as a new revision.", rollback},
         {"show", "", "Prints the current configuration, or that of --revision.", show},
-        {"history", "", "Prints the latest changes, --limit of them.", history},
-        {"status", "", "Prints what each control instance is and which entry instances have confirmed which revision.", status},
+        {"history", "", "Prints the latest changes, at most --limit.", history},
+        {"status", "", "Prints the state of each control instance and the revision that each entry instance has confirmed.", status},
         {"members", "[add OPERATOR-ADDRESS | promote NAME | remove NAME]", "Lists or changes the control instances that hold the log.", members},
-        {"bootstrap", "", "Founds the log on the instances of --control. Once, before anything else.", bootstrap},
-        {"drain", "", "Stops the one control instance of --control as planned: it hands leadership over and exits.", drain},
+        {"bootstrap", "", "Bootstraps the log with the instances of --control as its initial members. Needed once, before any other verb.", bootstrap},
+        {"drain", "", "Drains the one control instance of --control: it transfers leadership, if it has it, and exits.", drain},
         {"dump", "", "Prints each control instance's whole state as JSON.", dump},
     };
     return table;
@@ -421,18 +420,20 @@
 {
     settings.addEndpoints({.name = "control", .valueName = "IP:PORT,…", .help = "Operator ports of the control instances.", .required = true}, values.control);
     settings.addInteger(
-        {.name = "timeout-ms", .valueName = "N", .help = "How long one call may take.", .defaultValue = "5000"}, values.timeoutMilliseconds, 1, 600'000);
+        {.name = "timeout-ms", .valueName = "N", .help = "Timeout of one call.", .defaultValue = "5000"}, values.timeoutMilliseconds, 1, 600'000);
     settings.addText({.name = "change-id", .valueName = "TEXT", .help = "Id of the change; a new one is made when it is empty."}, values.changeId);
     settings.addInteger(
         {.name = "base-revision", .valueName = "N", .help = "Revision that the change was made from; -1: the current one.", .defaultValue = "-1"},
         values.baseRevision,
         -1,
         INT64_MAX);
-    settings.addChoice(
-        {.name = "dry-run", .valueName = "yes|no", .help = "Only says what would come of the change.", .defaultValue = "no"}, {"yes", "no"}, values.dryRun);
+    settings.addChoice({.name = "dry-run", .valueName = "yes|no", .help = "Only reports what the outcome of the change would be.", .defaultValue = "no"},
+        {"yes", "no"},
+        values.dryRun);
     settings.addInteger(
         {.name = "revision", .valueName = "N", .help = "Revision to show; 0: the current one.", .defaultValue = "0"}, values.revision, 0, INT64_MAX);
-    settings.addInteger({.name = "limit", .valueName = "N", .help = "Lines of history.", .defaultValue = "20"}, values.limit, 1, 100'000);
+    settings.addInteger(
+        {.name = "limit", .valueName = "N", .help = "Maximum number of changes in the history.", .defaultValue = "20"}, values.limit, 1, 100'000);
 }
 
 int main(int argumentCount, char **arguments)
--- a/Utilities/crankload/AnswerCheck.cpp
+++ b/Utilities/crankload/AnswerCheck.cpp
@@ -47,7 +47,7 @@
         included.insert(shard.get<std::int32_t>());
     }
     const auto shards = coverage.value("shards", 0);
-    tally.shardsAsked += static_cast<std::uint64_t>(shards);
+    tally.shardsRequested += static_cast<std::uint64_t>(shards);
     tally.shardsIncluded += included.size();
     tally.partial += static_cast<std::size_t>(shards) == included.size() ? 0 : 1;
     for (const auto &hit : hits) {
@@ -56,7 +56,7 @@
             break;
         }
     }
-    // The answer has to be what the shards it claims to include hold: no more, no less.
+    // The hits must be exactly the best ones of the shards that the answer claims to include.
     if (shards <= 0 || !sameHits(this->index(service, version, shards).search(query, limit, included), hits)) {
         ++tally.wrongAnswers;
     }
@@ -66,7 +66,7 @@
 {
     const auto record = answer.value("record", nlohmann::json::object());
     const auto version = answer.value("snapshot", nlohmann::json::object()).value("version", std::int64_t{0});
-    ++tally.shardsAsked;
+    ++tally.shardsRequested;
     ++tally.shardsIncluded;
     tally.mixedSnapshots += record.value("version", std::int64_t{-1}) == version ? 0 : 1;
     const bool right = record.value("id", "") == id && record.value("title", "") == this->index(service, version, 1).titleOf(id);
--- a/Utilities/crankload/AnswerCheck.h
+++ b/Utilities/crankload/AnswerCheck.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Checks answers against the index that the stand-ins serve.
+// Checks answers against the deterministic index that the fake backend servers serve.
 
 #pragma once
 
@@ -18,14 +18,14 @@
 namespace Load
 {
 
-/** Knows the right answers. */
+/** Computes the expected answers from FakeIndex and counts differences. */
 class AnswerCheck
 {
 public:
-    /** Counts what is wrong with the answer to a search. */
+    /** Adds coverage, mixed snapshots and wrong hits of the answer to a search to `tally`. */
     void checkSearch(const std::string &service, const std::string &query, std::size_t limit, const nlohmann::json &answer, Tally &tally);
 
-    /** Counts what is wrong with the answer to a look-up. */
+    /** Adds a mixed snapshot or a wrong record in the answer to a look-up to `tally`. */
     void checkRecord(const std::string &service, const std::string &id, const nlohmann::json &answer, Tally &tally);
 
 private:
--- a/Utilities/crankload/Balancer.cpp
+++ b/Utilities/crankload/Balancer.cpp
@@ -35,12 +35,12 @@
 Core::Endpoint Balancer::next()
 {
     for (std::size_t tried = 0; tried < this->targets.size(); ++tried) {
-        const auto &target = this->targets[this->turn++ % this->targets.size()];
+        const auto &target = this->targets[this->nextTarget++ % this->targets.size()];
         if (target.ready) {
             return target.caller;
         }
     }
-    return this->targets[this->turn++ % this->targets.size()].caller;
+    return this->targets[this->nextTarget++ % this->targets.size()].caller;
 }
 
 std::size_t Balancer::readyCount() const
--- a/Utilities/crankload/Balancer.h
+++ b/Utilities/crankload/Balancer.h
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Stands in for the platform's balancer: knows which entry instances are ready
-// and hands them out in turn.
+// Simulates the platform's load balancer: selects ready entry instances round-robin.
 
 #pragma once
 
@@ -18,20 +17,20 @@
 namespace Load
 {
 
-/** An entry instance as the balancer knows it. */
+/** Addresses of an entry instance and whether it answered the latest readiness check. */
 struct BalancerTarget {
     Core::Endpoint caller;
     Core::Endpoint administration;
     bool ready{false};
 };
 
-/** Asks /readyz again and again. */
+/** Checks /readyz of each instance every 200 ms. */
 class Balancer
 {
 public:
     Balancer(std::vector<BalancerTarget> targets, Http::HttpClient &http, Core::TimerService &timers);
 
-    /** The next ready instance; without any, the next one at all. */
+    /** The caller address of the next ready instance, or of the next instance of all if none is ready. */
     [[nodiscard]] Core::Endpoint next();
 
     [[nodiscard]] std::size_t readyCount() const;
@@ -41,7 +40,7 @@
 
     std::vector<BalancerTarget> targets;
     Http::HttpClient &http;
-    std::size_t turn{0};
+    std::size_t nextTarget{0};
     Core::TimerSubscription timer;
 };
 
--- a/Utilities/crankload/LoadDriver.cpp
+++ b/Utilities/crankload/LoadDriver.cpp
@@ -12,11 +12,11 @@
 {
 
 static constexpr std::size_t SearchLimit = 10;
-static constexpr int MostSends = 12;
-static constexpr Core::Duration ActionRetryPause = Core::milliseconds(300);
+static constexpr int MaximumSends = 12;
+static constexpr Core::Duration ActionRetryDelay = Core::milliseconds(300);
 static constexpr Core::Duration IdleCheckPeriod = Core::milliseconds(50);
-static constexpr Core::Duration LongestWait = Core::seconds(20);
-static constexpr int ConnectionsToEntry = 256;
+static constexpr Core::Duration OutstandingTimeout = Core::seconds(20);
+static constexpr int ConnectionsPerEntryInstance = 256;
 
 LoadDriver::LoadDriver(LoadOptions options, Balancer &balancer, Http::HttpClient &http, Core::TimerService &timers)
     : options(std::move(options)), balancer(balancer), http(http), timers(timers), random(this->options.seed), streamTimers(this->options.streams.size())
@@ -49,7 +49,7 @@
     const auto pause = Core::Duration(static_cast<Core::Duration::rep>(gap(this->random) * 1e6));
     this->streamTimers[stream] = this->timers.once(pause, [this, stream](Core::Instant now) {
         if (now < this->endsAt) {
-            // The next one is planned first, so that sending does not delay it.
+            // The next request is scheduled before this one is sent, so that the time for sending does not delay it.
             this->scheduleNext(stream);
             this->sendOne(stream);
         }
@@ -112,7 +112,7 @@
     Http::ClientRequest request;
     request.endpoint = this->balancer.next();
     request.target = "/v1/services/" + service + "/search?q=" + Http::escape(query) + "&limit=" + std::to_string(SearchLimit);
-    request.connectionsPerHost = ConnectionsToEntry;
+    request.connectionsPerHost = ConnectionsPerEntryInstance;
     const Core::Instant sentAt = this->timers.now();
     ++this->outstanding;
     this->http.send(request, [this, stream, service, query, sentAt](const Http::ClientResult &result) {
@@ -138,7 +138,7 @@
     Http::ClientRequest request;
     request.endpoint = this->balancer.next();
     request.target = "/v1/services/" + service + "/records/" + id;
-    request.connectionsPerHost = ConnectionsToEntry;
+    request.connectionsPerHost = ConnectionsPerEntryInstance;
     const Core::Instant sentAt = this->timers.now();
     ++this->outstanding;
     this->http.send(request, [this, stream, service, id, sentAt](const Http::ClientResult &result) {
@@ -165,23 +165,23 @@
     request.contentType = "application/json";
     request.body = R"({"job":")" + action->key + R"("})";
     request.headers = {{"Idempotency-Key", action->key}};
-    request.connectionsPerHost = ConnectionsToEntry;
+    request.connectionsPerHost = ConnectionsPerEntryInstance;
     ++action->sends;
     ++action->outstanding;
     ++this->outstanding;
     this->http.send(request, [this, action](const Http::ClientResult &result) {
         --this->outstanding;
         --action->outstanding;
-        this->takeActionAnswer(action, result);
+        this->handleActionAnswer(action, result);
     });
 }
 
-void LoadDriver::takeActionAnswer(const std::shared_ptr<ActionState> &action, const Http::ClientResult &result)
+void LoadDriver::handleActionAnswer(const std::shared_ptr<ActionState> &action, const Http::ClientResult &result)
 {
     auto &tally = this->options.streams[action->stream].tally;
     if (result.status == 200) {
         const auto document = Core::parseObject(result.body);
-        // The answer has to be that of the caller's own request, the first time and every time it is sent again.
+        // Every answer must belong to this action, whether the action was sent once or several times.
         if (!document.has_value() || document->value("key", "") != action->key) {
             ++tally.wrongAnswers;
         }
@@ -195,7 +195,7 @@
     if (action->answered || action->outstanding > 0) {
         return;
     }
-    if (action->sends < MostSends) {
+    if (action->sends < MaximumSends) {
         this->retryAction(action);
         return;
     }
@@ -208,7 +208,7 @@
 void LoadDriver::retryAction(const std::shared_ptr<ActionState> &action)
 {
     ++this->outstanding;
-    this->retryTimers.push_back(this->timers.once(ActionRetryPause, [this, action](Core::Instant) {
+    this->retryTimers.push_back(this->timers.once(ActionRetryDelay, [this, action](Core::Instant) {
         --this->outstanding;
         this->sendAction(action);
     }));
@@ -218,7 +218,7 @@
 {
     const Core::Instant now = this->timers.now();
     const bool idle = now >= this->endsAt && this->outstanding == 0;
-    if (!idle && now < this->endsAt + LongestWait) {
+    if (!idle && now < this->endsAt + OutstandingTimeout) {
         return;
     }
     this->idleTimer.cancel();
--- a/Utilities/crankload/LoadDriver.h
+++ b/Utilities/crankload/LoadDriver.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// An open-loop load: requests leave at their times whether or not earlier ones
-// have been answered, so that slow answers can't hide behind each other.
+// Open-loop load: requests are sent at scheduled times whether or not earlier ones have been answered, so that slow answers do not
+// reduce the load and thereby hide their own effect on latency.
 
 #pragma once
 
@@ -24,36 +24,36 @@
 namespace Load
 {
 
-/** What a stream of requests asks. */
+/** Kind of the requests in a stream. */
 enum class StreamKind {
     Search,
     Lookup,
     Action,
 };
 
-/** One stream of requests to one service. */
+/** One stream of requests to one service, with exponentially distributed gaps. */
 struct Stream {
     std::string service;
     StreamKind kind{StreamKind::Search};
     double ratePerSecond{0.0};
-    /** Counts for "within the deadline". */
+    /** An answer that takes at most this long counts as within the deadline. */
     Core::Duration deadline{Core::milliseconds(1000)};
     Tally tally;
 };
 
-/** Knobs of the driver. */
+/** Options of the driver. */
 struct LoadOptions {
     std::vector<Stream> streams;
     Core::Duration duration{Core::seconds(10)};
     std::uint64_t seed{1};
-    /** Of a hundred actions, how many are sent again with the same key at once. */
+    /** Percentage of the actions that are sent twice at once, with the same key. */
     int resentPercent{20};
     std::string action{"enqueue"};
-    /** Keys whose last answer said "not run" are written here; empty: nowhere. */
+    /** File that gets the keys of actions whose last answer was "not run". Empty: no file. */
     std::string notRunLog;
 };
 
-/** Runs the streams, then waits for what is out. */
+/** Sends the streams' requests for the given time, then waits up to 20 s for outstanding answers. */
 class LoadDriver
 {
 public:
@@ -61,7 +61,7 @@
 
     void start(std::function<void()> finished);
 
-    /** What was seen, stream by stream. */
+    /** The streams with their tallies. */
     [[nodiscard]] std::vector<Stream> &streams();
 
 private:
@@ -80,7 +80,7 @@
     void sendSearch(std::size_t stream);
     void sendLookup(std::size_t stream);
     void sendAction(const std::shared_ptr<ActionState> &action);
-    void takeActionAnswer(const std::shared_ptr<ActionState> &action, const Http::ClientResult &result);
+    void handleActionAnswer(const std::shared_ptr<ActionState> &action, const Http::ClientResult &result);
     void retryAction(const std::shared_ptr<ActionState> &action);
     void countRefusal(Tally &tally, const Http::ClientResult &result) const;
     [[nodiscard]] bool countAnswer(std::size_t stream, const Http::ClientResult &result, Core::Instant sentAt);
--- a/Utilities/crankload/Tally.cpp
+++ b/Utilities/crankload/Tally.cpp
@@ -22,7 +22,7 @@
 
 double Tally::coveredPercent() const
 {
-    return this->shardsAsked == 0 ? 100.0 : 100.0 * static_cast<double>(this->shardsIncluded) / static_cast<double>(this->shardsAsked);
+    return this->shardsRequested == 0 ? 100.0 : 100.0 * static_cast<double>(this->shardsIncluded) / static_cast<double>(this->shardsRequested);
 }
 
 void Tally::add(const Tally &other)
@@ -34,7 +34,7 @@
     this->refusedUnknown += other.refusedUnknown;
     this->lost += other.lost;
     this->withinDeadline += other.withinDeadline;
-    this->shardsAsked += other.shardsAsked;
+    this->shardsRequested += other.shardsRequested;
     this->shardsIncluded += other.shardsIncluded;
     this->mixedSnapshots += other.mixedSnapshots;
     this->wrongAnswers += other.wrongAnswers;
--- a/Utilities/crankload/Tally.h
+++ b/Utilities/crankload/Tally.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// What a load client saw: latencies, coverage, and every broken promise.
+// Results of a load run: latencies, coverage and counts of answers that break a guarantee.
 
 #pragma once
 
@@ -17,17 +17,17 @@
 namespace Load
 {
 
-/** Counts of one kind of request to one service. */
+/** Results of one stream of requests. */
 struct Tally {
     std::uint64_t sent{0};
     std::uint64_t answered{0};
     std::uint64_t partial{0};
     std::uint64_t refusedNotRun{0};
     std::uint64_t refusedUnknown{0};
-    /** No HTTP answer at all. */
+    /** Requests without any HTTP answer. */
     std::uint64_t lost{0};
     std::uint64_t withinDeadline{0};
-    std::uint64_t shardsAsked{0};
+    std::uint64_t shardsRequested{0};
     std::uint64_t shardsIncluded{0};
     std::uint64_t mixedSnapshots{0};
     std::uint64_t wrongAnswers{0};
--- a/Utilities/crankload/main.cpp
+++ b/Utilities/crankload/main.cpp
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// The load client: drives entry instances for a bounded time and reports what
-// it saw, one line for each stream and one for the whole.
+// The load client: sends requests to entry instances for a given time, checks the answers and prints the results, a line for each
+// stream and one for the sum.
 
 #include "LoadDriver.h"
 
@@ -22,7 +22,7 @@
     std::vector<Load::BalancerTarget> targets;
     Load::LoadOptions load;
     std::int64_t durationMilliseconds{0};
-    std::int64_t warmUpMilliseconds{0};
+    std::int64_t readyWaitMilliseconds{0};
     std::int64_t seed{0};
     std::int64_t expectedReady{0};
     Core::LogLevel logLevel{Core::LogLevel::Information};
@@ -33,12 +33,12 @@
 static Core::Result<void> readTargets(const std::string &text, std::vector<Load::BalancerTarget> &targets)
 {
     for (const auto &part : Core::splitList(text)) {
-        const auto ends = Core::splitList(part, '/');
-        if (ends.size() != 2) {
+        const auto addresses = Core::splitList(part, '/');
+        if (addresses.size() != 2) {
             return Core::failure(Core::ErrorKind::InvalidInput, "\"" + part + "\" is not of the form CALLER/ADMIN");
         }
-        const auto caller = Core::Endpoint::parse(ends[0]);
-        const auto administration = Core::Endpoint::parse(ends[1]);
+        const auto caller = Core::Endpoint::parse(addresses[0]);
+        const auto administration = Core::Endpoint::parse(addresses[1]);
         if (!caller.has_value() || !administration.has_value()) {
             return Core::failure(Core::ErrorKind::InvalidInput, "\"" + part + "\" is not of the form IP:PORT/IP:PORT");
         }
@@ -94,16 +94,21 @@
             }
             return {};
         }});
-    settings.addInteger(
-        {.name = "duration-ms", .valueName = "N", .help = "How long requests are sent.", .defaultValue = "10000"}, values.durationMilliseconds, 1, 600'000);
-    settings.addInteger({.name = "ready-wait-ms", .valueName = "N", .help = "How long to wait for ready entry instances.", .defaultValue = "10000"},
-        values.warmUpMilliseconds,
+    settings.addInteger({.name = "duration-ms", .valueName = "N", .help = "Time during which requests are sent.", .defaultValue = "10000"},
+        values.durationMilliseconds,
+        1,
+        600'000);
+    settings.addInteger({.name = "ready-wait-ms", .valueName = "N", .help = "Timeout of the wait for ready entry instances.", .defaultValue = "10000"},
+        values.readyWaitMilliseconds,
         0,
         120'000);
-    settings.addInteger(
-        {.name = "expected-ready", .valueName = "N", .help = "Entry instances that have to be ready.", .defaultValue = "1"}, values.expectedReady, 0, 1000);
-    settings.addInteger({.name = "seed", .valueName = "N", .help = "Seed of all chance.", .defaultValue = "1"}, values.seed, 0, INT64_MAX);
-    settings.addText({.name = "action", .valueName = "NAME", .help = "The action that action streams ask for.", .defaultValue = "enqueue"}, values.load.action);
+    settings.addInteger({.name = "expected-ready", .valueName = "N", .help = "Ready entry instances that sending waits for.", .defaultValue = "1"},
+        values.expectedReady,
+        0,
+        1000);
+    settings.addInteger({.name = "seed", .valueName = "N", .help = "Seed of the random generator.", .defaultValue = "1"}, values.seed, 0, INT64_MAX);
+    settings.addText(
+        {.name = "action", .valueName = "NAME", .help = "Name of the action that action streams request.", .defaultValue = "enqueue"}, values.load.action);
     settings.addText({.name = "not-run-log", .valueName = "PATH", .help = "File that gets the keys whose last answer was \"not run\"."}, values.load.notRunLog);
     Core::addLogLevelSetting(settings, values.logLevel);
 }
@@ -148,7 +153,7 @@
     values.load.seed = static_cast<std::uint64_t>(values.seed);
     Load::LoadDriver driver(values.load, balancer, http, timers);
 
-    const Core::Instant giveUp = timers.now() + Core::milliseconds(values.warmUpMilliseconds);
+    const Core::Instant readyDeadline = timers.now() + Core::milliseconds(values.readyWaitMilliseconds);
     bool started = false;
     Core::TimerSubscription readyTimer = timers.every(Core::milliseconds(50), [&](Core::Instant now) {
         if (static_cast<std::int64_t>(balancer.readyCount()) >= values.expectedReady) {
@@ -157,7 +162,7 @@
             driver.start([&daemon] {
                 daemon.quit();
             });
-        } else if (now >= giveUp) {
+        } else if (now >= readyDeadline) {
             daemon.quit();
         }
     });
--- a/Utilities/crankmeasure/ClaimLoad.cpp
+++ b/Utilities/crankmeasure/ClaimLoad.cpp
@@ -12,7 +12,7 @@
 namespace Measure
 {
 
-static constexpr Core::Duration RetryPause = Core::milliseconds(20);
+static constexpr Core::Duration RetryDelay = Core::milliseconds(20);
 
 ClaimLoad::ClaimLoad(std::vector<Core::Endpoint> instances, std::size_t inFlight, Core::Duration duration, Core::TimerService &timers)
     : client(std::move(instances), timers), inFlight(inFlight), duration(duration), timers(timers)
@@ -46,24 +46,24 @@
     request.attemptId = Core::randomToken();
     request.executionLimitMilliseconds = 5000;
     this->client.claim(request, [this, now](const Core::Result<Protocol::ClaimReply> &reply) {
-        this->take(now, reply);
+        this->handleReply(now, reply);
     });
 }
 
-void ClaimLoad::take(Core::Instant sentAt, const Core::Result<Protocol::ClaimReply> &reply)
+void ClaimLoad::handleReply(Core::Instant sentAt, const Core::Result<Protocol::ClaimReply> &reply)
 {
     const Core::Instant now = this->timers.now();
     if (reply.has_value() && reply->status == Protocol::ClaimStatus::GRANTED) {
         ++this->grants;
         this->latencies.push_back(now - sentAt);
-        this->silence = std::max(this->silence, now - this->lastGrant);
+        this->longestGap = std::max(this->longestGap, now - this->lastGrant);
         this->lastGrant = now;
         this->next();
         return;
     }
     ++this->failures;
     this->client.tryAnotherInstance(reply.has_value() ? reply->leaderAddress : std::string());
-    this->pauses.push_back(this->timers.once(RetryPause, [this](Core::Instant) {
+    this->retryTimers.push_back(this->timers.once(RetryDelay, [this](Core::Instant) {
         this->next();
     }));
 }
@@ -78,9 +78,9 @@
     return this->failures;
 }
 
-Core::Duration ClaimLoad::longestSilence() const
+Core::Duration ClaimLoad::longestTimeWithoutGrant() const
 {
-    return this->silence;
+    return this->longestGap;
 }
 
 Core::Duration ClaimLoad::quantile(double quantile)
--- a/Utilities/crankmeasure/ClaimLoad.h
+++ b/Utilities/crankmeasure/ClaimLoad.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Drives live control instances: how long a commit takes, how many claims a
-// second they take, and how long they are silent when their leader dies.
+// Sends claims to running control instances and measures commit latency, claims per second and, if their leader is killed meanwhile,
+// the time without commits.
 
 #pragma once
 
@@ -18,7 +18,7 @@
 namespace Measure
 {
 
-/** Keeps a number of claims in flight for a while. */
+/** Keeps a fixed number of claims in flight for a given time. */
 class ClaimLoad
 {
 public:
@@ -29,12 +29,12 @@
     [[nodiscard]] std::uint64_t granted() const;
     [[nodiscard]] std::uint64_t failed() const;
     [[nodiscard]] Core::Duration quantile(double quantile);
-    /** The longest time without any grant. */
-    [[nodiscard]] Core::Duration longestSilence() const;
+    /** The longest time without a grant, from the start or the previous grant to the next grant. */
+    [[nodiscard]] Core::Duration longestTimeWithoutGrant() const;
 
 private:
     void next();
-    void take(Core::Instant sentAt, const Core::Result<Protocol::ClaimReply> &reply);
+    void handleReply(Core::Instant sentAt, const Core::Result<Protocol::ClaimReply> &reply);
 
     Entry::ControlClient client;
     std::size_t inFlight;
@@ -42,12 +42,12 @@
     Core::TimerService &timers;
     Core::Instant endsAt;
     Core::Instant lastGrant;
-    Core::Duration silence{0};
+    Core::Duration longestGap{0};
     std::uint64_t grants{0};
     std::uint64_t failures{0};
     std::size_t outstanding{0};
     std::vector<Core::Duration> latencies;
-    std::vector<Core::TimerSubscription> pauses;
+    std::vector<Core::TimerSubscription> retryTimers;
     std::function<void()> finished;
 };
 
--- a/Utilities/crankmeasure/Slopes.cpp
+++ b/Utilities/crankmeasure/Slopes.cpp
@@ -23,7 +23,7 @@
 namespace
 {
 
-/** Processor time and heap of what happens while it lives. */
+/** Measures processor time and heap growth of the process since its construction. */
 class Meter
 {
 public:
@@ -55,7 +55,7 @@
     double heapBefore{heapBytes()};
 };
 
-/** Answers every attempt as soon as the loop turns. */
+/** Answers every attempt in the next run of the timers. */
 class InstantTransport final : public Entry::BackendTransport
 {
 public:
@@ -159,7 +159,7 @@
 {
     constexpr int Searches = 300;
     TestSupport::EntryFixture fixture({.shards = shards});
-    // The fixture's own transport waits for a test; this one answers by itself.
+    // The fixture's own transport needs a test to answer each attempt, so InstantTransport replaces it.
     InstantTransport transport(fixture.time.timers());
     Entry::EntryState state({}, transport, fixture.time.timers());
     Protocol::FollowReply reply;
--- a/Utilities/crankmeasure/Slopes.h
+++ b/Utilities/crankmeasure/Slopes.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Slopes for docs/CAPACITY.md, measured in one process at two sizes each: what
-// one more replica, sub-request, service, change or claim costs.
+// Measures, in one process and at several sizes each, what an additional replica, sub-request, service, change or claim costs.
+// docs/CAPACITY.md uses these slopes.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 namespace Measure
 {
 
-/** One figure at one size. */
+/** One measured value at one size; `what` names the value in the output. */
 struct Sample {
     std::string what;
     std::string unit;
@@ -22,16 +22,16 @@
     double value{0.0};
 };
 
-/** Bytes and processor time of the registry, by the number of replicas. */
+/** Memory and processor time of the backend registry and its relay messages, for a number of replicas. */
 [[nodiscard]] std::vector<Sample> measureRegistry(std::size_t replicas);
 
-/** Processor time of the decisions for one search, without any network, by the number of shards. */
+/** Processor time of the decisions for one search, without network, for a number of shards. */
 [[nodiscard]] std::vector<Sample> measureFanOut(std::int32_t shards);
 
-/** Bytes and processor time of a configuration, by the number of services. */
+/** Memory, message size and processor time of a configuration, for a number of services. */
 [[nodiscard]] std::vector<Sample> measureConfiguration(std::int32_t services);
 
-/** Bytes and processor time of the records of actions, by their number. */
+/** Memory, message size and processor time of claim records, for a number of claims. */
 [[nodiscard]] std::vector<Sample> measureClaims(std::size_t claims);
 
 }
--- a/Utilities/crankmeasure/main.cpp
+++ b/Utilities/crankmeasure/main.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Measures, and only reports: `slopes` in this process, `claims` against live
+// Prints measurements and checks none against a limit. Mode `slopes` measures inside this process, mode `claims` measures running
 // control instances.
 
 #include "ClaimLoad.h"
@@ -75,19 +75,21 @@
         static_cast<double>(load.granted()) * 1000.0 / static_cast<double>(values.durationMilliseconds),
         Core::toFractionalMilliseconds(load.quantile(0.5)),
         Core::toFractionalMilliseconds(load.quantile(0.99)),
-        Core::toFractionalMilliseconds(load.longestSilence()));
+        Core::toFractionalMilliseconds(load.longestTimeWithoutGrant()));
     return {};
 }
 
 int main(int argumentCount, char **arguments)
 {
     MeasureSettings values;
-    Core::Settings settings("crankmeasure", "measures slopes and control instances; reports, never judges");
+    Core::Settings settings("crankmeasure", "measures cost slopes or control instances and prints the figures");
     settings.addChoice({.name = "mode", .valueName = "slopes|claims", .help = "What to measure.", .required = true}, {"slopes", "claims"}, values.mode);
     settings.addEndpoints({.name = "control", .valueName = "IP:PORT,…", .help = "Entry ports of control instances, for claims."}, values.control);
     settings.addInteger({.name = "in-flight", .valueName = "N", .help = "Claims in flight.", .defaultValue = "1"}, values.inFlight, 1, 10'000);
-    settings.addInteger(
-        {.name = "duration-ms", .valueName = "N", .help = "How long claims are sent.", .defaultValue = "3000"}, values.durationMilliseconds, 1, 600'000);
+    settings.addInteger({.name = "duration-ms", .valueName = "N", .help = "Time during which claims are sent.", .defaultValue = "3000"},
+        values.durationMilliseconds,
+        1,
+        600'000);
     Core::addLogLevelSetting(settings, values.logLevel);
     return Core::runProgram(settings, argumentCount, arguments, values.logLevel, [&values] {
         return values.mode == "slopes" ? measureSlopes() : measureClaimLoad(values);
--- a/Utilities/fakebackendd/main.cpp
+++ b/Utilities/fakebackendd/main.cpp
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// Stand-ins for backend servers: some replicas of some shards of one service.
+// Simulated backend servers: hosts one replica each of consecutive shards of one service.
 
 #include <LibCore/Daemon.h>
 #include <LibCore/Settings.h>
@@ -47,7 +47,8 @@
     settings.addText({.name = "service", .valueName = "NAME", .help = "Service that is served.", .required = true}, values.service);
     settings.addText({.name = "zone", .valueName = "ZONE", .help = "Availability zone.", .defaultValue = "zone-a"}, values.zone);
     settings.addEndpoint(
-        {.name = "listen", .valueName = "IP:PORT", .help = "Address of the first replica; further ones count the port up.", .required = true}, values.listen);
+        {.name = "listen", .valueName = "IP:PORT", .help = "Address of the first replica; each further replica uses the next port.", .required = true},
+        values.listen);
     settings.addEndpoints({.name = "announce-to", .valueName = "IP:PORT,…", .help = "Backend ports of entry instances."}, values.announceTo);
     settings.addInteger({.name = "first-shard", .valueName = "N", .help = "First shard that is hosted.", .defaultValue = "0"}, values.firstShard, 0, 65'535);
     settings.addInteger(
@@ -55,31 +56,48 @@
     settings.addInteger({.name = "shard-count", .valueName = "N", .help = "Shards of the service.", .defaultValue = "1"}, values.shardCount, 1, 65'536);
     settings.addInteger({.name = "version", .valueName = "N", .help = "Index version.", .defaultValue = "1"}, values.version, 1, INT64_MAX);
     settings.addText({.name = "shard-map", .valueName = "TEXT", .help = "Digest of the shard map.", .defaultValue = "map-1"}, values.shardMap);
-    settings.addText({.name = "replica-suffix", .valueName = "TEXT", .help = "Ends the replicas' names.", .defaultValue = "a"}, values.replicaSuffix);
-    settings.addInteger({.name = "slots", .valueName = "N", .help = "Requests worked on at once.", .defaultValue = "2"}, values.slots, 1, 1000);
-    settings.addInteger(
-        {.name = "connection-cap", .valueName = "N", .help = "Open connections at most.", .defaultValue = "25"}, values.connectionCap, 1, 100'000);
+    settings.addText({.name = "replica-suffix", .valueName = "TEXT", .help = "Suffix of the replicas' names.", .defaultValue = "a"}, values.replicaSuffix);
+    settings.addInteger({.name = "slots", .valueName = "N", .help = "Requests that one replica runs at a time.", .defaultValue = "2"}, values.slots, 1, 1000);
+    settings.addInteger({.name = "connection-cap", .valueName = "N", .help = "Maximum number of open connections of one replica.", .defaultValue = "25"},
+        values.connectionCap,
+        1,
+        100'000);
     settings.addInteger({.name = "open-cost-us", .valueName = "N", .help = "Time until a new connection is served.", .defaultValue = "0"},
         values.openCostMicroseconds,
         0,
         1'000'000);
-    settings.addInteger({.name = "service-time-us", .valueName = "N", .help = "Mean time for one request.", .defaultValue = "4000"},
+    settings.addInteger({.name = "service-time-us", .valueName = "N", .help = "Mean service time of one request.", .defaultValue = "4000"},
         values.serviceTimeMicroseconds,
         1,
         60'000'000);
-    settings.addInteger({.name = "cold-ms", .valueName = "N", .help = "Slow time after the start.", .defaultValue = "0"}, values.coldMilliseconds, 0, 600'000);
-    settings.addInteger({.name = "straggler-permille", .valueName = "N", .help = "Requests in a thousand that take long.", .defaultValue = "0"},
+    settings.addInteger(
+        {.name = "cold-ms", .valueName = "N", .help = "Time after the start during which requests take three times as long.", .defaultValue = "0"},
+        values.coldMilliseconds,
+        0,
+        600'000);
+    settings.addInteger({.name = "straggler-permille", .valueName = "N", .help = "Requests per thousand that are stragglers.", .defaultValue = "0"},
         values.stragglerPermille,
         0,
         1000);
-    settings.addInteger(
-        {.name = "straggler-factor", .valueName = "N", .help = "How much longer they take.", .defaultValue = "20"}, values.stragglerFactor, 1, 10'000);
-    settings.addText(
-        {.name = "wrong-reply", .valueName = "KIND", .help = "none, attempt, shard, snapshot, truncated or stale-content.", .defaultValue = "none"},
+    settings.addInteger({.name = "straggler-factor", .valueName = "N", .help = "Factor on the service time of stragglers.", .defaultValue = "20"},
+        values.stragglerFactor,
+        1,
+        10'000);
+    settings.addText({.name = "wrong-reply",
+                         .valueName = "KIND",
+                         .help = "Fault of the replies: none, attempt, shard, snapshot, truncated or stale-content.",
+                         .defaultValue = "none"},
         values.wrongReply);
-    settings.addText({.name = "load-report", .valueName = "KIND", .help = "true, zero or huge.", .defaultValue = "true"}, values.loadReport);
+    settings.addText(
+        {.name = "load-report", .valueName = "KIND", .help = "Load in announcements: true, zero or huge.", .defaultValue = "true"}, values.loadReport);
     settings.addText({.name = "action-log", .valueName = "PATH", .help = "File that gets the key of each executed action."}, values.actionLog);
-    settings.addInteger({.name = "seed", .valueName = "N", .help = "Seed of all chance.", .defaultValue = "1"}, values.seed, 0, INT64_MAX);
+    settings.addInteger({.name = "seed",
+                            .valueName = "N",
+                            .help = "Seed of the first replica's random generator; each further replica uses the next number.",
+                            .defaultValue = "1"},
+        values.seed,
+        0,
+        INT64_MAX);
     Core::addLogLevelSetting(settings, values.logLevel);
 }
 
@@ -151,7 +169,7 @@
 int main(int argumentCount, char **arguments)
 {
     FakeBackendSettings values;
-    Core::Settings settings("fakebackendd", "stand-ins for backend servers, for demonstrations and measurements");
+    Core::Settings settings("fakebackendd", "simulated backend servers, for demonstrations and measurements");
     declareSettings(settings, values);
     return Core::runProgram(settings, argumentCount, arguments, values.logLevel, [&values] {
         return run(values);
