--- a/Tests/Soak/backends.py
+++ b/Tests/Soak/backends.py
@@ -1,7 +1,8 @@
 # SPDX-FileCopyrightText: 2026 the crankrudder developers
 # SPDX-License-Identifier: BSD-2-Clause
-"""Stand-in backend servers of the fault soak: they run requests, remember each
-run, and break off, stall, refuse, drain and crash as they are told."""
+"""Simulated backend servers of the fault soak. They run requests, record each run,
+and abort connections, slow down, refuse, send duplicate answers, drain and crash
+on demand."""
 
 import asyncio
 import hashlib
@@ -13,7 +14,7 @@
 
 
 class Run:
-    """One request that a backend server has begun to work on."""
+    """The execution of one request at one backend server."""
 
     def __init__(self, request_id, service, backend, target, body):
         self.request_id = request_id
@@ -25,17 +26,17 @@
 
 
 class Journal:
-    """What all backend servers saw, for the checks."""
+    """Observations of all backend servers, which the soak checks at the end."""
 
     def __init__(self):
         self.runs = {}
-        # (backend, time) of requests that came after a drain was acknowledged.
+        # (backend, time since the acknowledgement) of requests that arrived after a drain was acknowledged.
         self.late_arrivals = []
-        # (backend, time of the acknowledgement, time of arrival) of requests that came while a zone was evacuated.
+        # (backend, time of the acknowledgement, time of arrival) of requests that arrived in an evacuated zone.
         self.evacuated_arrivals = []
         # (backend, request id) of requests that ran outside the regions that their route allows.
-        self.strayed = []
-        # (request id, workspace) as backend servers were told, and those of them that were sent a caller's key.
+        self.outside_regions = []
+        # (request id, workspace) as received by backend servers, and the ids of backend servers that received a caller's key.
         self.workspaces = set()
         self.keys_seen = set()
 
@@ -48,7 +49,7 @@
 
 
 def part_of(service, request_id, count=8):
-    """The records that a shard holds for a request: the same at every replica."""
+    """The records of a shard for a request, which are the same at every replica."""
     return b"".join(hashlib.md5(f"{service}/{request_id}/{index}".encode()).digest() for index in range(count))
 
 
@@ -57,7 +58,7 @@
 
 
 async def read_message(reader):
-    """A whole HTTP message: first line, headers by lower-case name, body. None at the end of the stream."""
+    """Reads an HTTP message: first line, headers by lower-case name, body. Raises IncompleteReadError at the end of the stream."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     headers = {}
@@ -70,7 +71,7 @@
 
 
 async def call(host, port, method, path, body=b"", headers=None, timeout=1.0):
-    """One call on a connection of its own. Returns status, headers and body, or None without a clear answer."""
+    """Makes one call on a new connection. Returns status, headers and body, or None if no complete answer arrives in time."""
 
     async def run():
         reader, writer = await asyncio.open_connection(host, port)
@@ -90,7 +91,7 @@
 
 
 class Backend:
-    """One life of a backend server; with an `identity` it has the name of an earlier one."""
+    """One incarnation of a backend server; `identity` is the id of an earlier incarnation that it continues."""
 
     counter = 0
 
@@ -107,23 +108,23 @@
         self.running = 0
         self.drain_acknowledged = None
         self.gone = False
-        # Faults, as shares of the requests.
+        # Faults, as shares of the requests; `slow` is a factor on the service time.
         self.lose = 0.0
         self.garble = 0.0
         self.refuse = 0.0
-        self.stutter = 0.0
+        self.duplicate = 0.0
         self.slow = 1.0
         self.tasks = []
         self.writers = set()
-        # Second answers by connection, which come where the answer to the next request is due.
-        self.owed = {}
+        # Duplicate answers by connection. They are sent when the next request arrives, before its own answer.
+        self.duplicates = {}
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.tasks.append(asyncio.create_task(self.beat()))
+        self.tasks.append(asyncio.create_task(self.send_heartbeats()))
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while not self.gone:
             await self.send_heartbeat()
             await asyncio.sleep(self.soak.random.uniform(0.3, 0.5))
@@ -135,7 +136,7 @@
         return await self.soak.control_call("PUT", f"/crankrudder/instances/{self.id}", json.dumps(document).encode())
 
     async def drain(self):
-        """Says that it leaves, serves on for a while, says farewell and ends."""
+        """Announces that it drains, serves for a while longer, deregisters and ends."""
         self.state = "draining"
         if await self.send_heartbeat() is not None:
             self.drain_acknowledged = time.monotonic()
@@ -156,27 +157,27 @@
         try:
             while True:
                 first, headers, body = await read_message(reader)
-                for second in self.owed.pop(writer, []):
-                    await self.write(writer, *second)
+                for duplicate in self.duplicates.pop(writer, []):
+                    await self.write(writer, *duplicate)
                 if not await self.answer(writer, first.split(" "), headers, body):
                     break
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError, asyncio.CancelledError):
             pass
         finally:
             self.writers.discard(writer)
-            self.owed.pop(writer, None)
+            self.duplicates.pop(writer, None)
             writer.close()
 
     async def answer(self, writer, words, headers, body):
-        """Runs one request. Returns whether the connection stays."""
+        """Answers one request and runs it unless it is refused. Returns whether the connection stays open."""
         request_id = headers.get("request-id", "")
         if self.drain_acknowledged is not None:
             self.soak.journal.late_arrivals.append((self, time.monotonic() - self.drain_acknowledged))
         if headers.get("target-instance") != self.id:
             await self.write(writer, 421, request_id, b"", {"Instance-Id": self.id})
             return True
-        if self.running >= SLOTS * 2 or self.soak.stutter_random.random() < self.refuse:
-            await self.write_stuttering(writer, 503, request_id, b"", {"Not-Executed": "1"})
+        if self.running >= SLOTS * 2 or self.soak.duplicate_random.random() < self.refuse:
+            await self.write_with_duplicate(writer, 503, request_id, b"", {"Not-Executed": "1"})
             return True
         self.soak.journal.workspaces.add((request_id, headers.get("tenant")))
         if any("-key-" in value for value in headers.values()):
@@ -186,7 +187,7 @@
         if evacuated_at is not None:
             self.soak.journal.evacuated_arrivals.append((self, evacuated_at, time.monotonic()))
         if words[1].startswith("/home/") and self.zone != self.soak.home_zone:
-            self.soak.journal.strayed.append((self, request_id))
+            self.soak.journal.outside_regions.append((self, request_id))
         self.running += 1
         try:
             await asyncio.sleep(self.soak.random.uniform(0.002, 0.012) * self.slow)
@@ -201,14 +202,14 @@
         if chance < self.lose + self.garble:
             await self.write_garbled(writer, request_id, content, extra)
             return False
-        await self.write_stuttering(writer, 200, request_id, content, extra)
+        await self.write_with_duplicate(writer, 200, request_id, content, extra)
         return True
 
-    async def write_stuttering(self, writer, status, request_id, content, extra):
-        """Answers, and in some cases once more later: under the same id and signature, with another body."""
+    async def write_with_duplicate(self, writer, status, request_id, content, extra):
+        """Answers, and queues a duplicate with the same id and signature but another body for a share of the answers."""
         await self.write(writer, status, request_id, content, extra)
-        if self.soak.stutter_random.random() < self.stutter:
-            self.owed.setdefault(writer, []).append((status, request_id, b"short" if content else b"", extra))
+        if self.soak.duplicate_random.random() < self.duplicate:
+            self.duplicates.setdefault(writer, []).append((status, request_id, b"short" if content else b"", extra))
 
     async def write(self, writer, status, request_id, content, extra):
         lines = [f"HTTP/1.1 {status} Any", f"Request-Id: {request_id}", f"Content-Length: {len(content)}"]
--- a/Tests/Soak/soak.py
+++ b/Tests/Soak/soak.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
 # SPDX-FileCopyrightText: 2026 the crankrudder developers
 # SPDX-License-Identifier: BSD-2-Clause
-"""Fault soak: runs the real gateways and coordinators as processes on the
-loopback interface, injects faults from outside, and checks the promises from
-what callers, operators and backend servers see.
+"""Fault soak: runs real gateways and coordinators as processes on the loopback
+interface, injects faults, and checks the guarantees of the system by what
+callers, operators and backend servers observe.
 
     Tests/Soak/soak.py --binaries target --seeds 1-5 --seconds 20
 
-Ends with `N passed, N failed` and a directory of logs for each seed that failed."""
+Prints `N passed, N failed` at the end and keeps a directory of logs for each seed that failed."""
 
 import argparse
 import asyncio
@@ -29,7 +29,7 @@
 TOP = 10
 MINIMUM_COVERAGE = 0.5
 DIVIDED_MINIMUM_COVERAGE = 0.83
-# What the pages promise, as the settings files of the processes say.
+# Time limits and bounds that the documentation guarantees, with the values of the settings files that write_settings() makes.
 DRAIN_SECONDS = 3.0
 APPLY_SECONDS = 3.0
 EVACUATE_SECONDS = 3.0
@@ -38,13 +38,13 @@
 QUOTA_WINDOW_SECONDS = 5.0
 QUOTA_OVERSHOOT = 0.1
 QUOTA_SLACK = 20
-# Workspaces with the keys that every declaration names. One sends about twice what its quota allows.
+# API keys of every declaration, with their workspaces. Callers send about twice as many requests for beta as its quota allows.
 KEYS = {"alpha-key-1": "alpha", "alpha-key-2": "alpha", "beta-key-1": "beta"}
 QUOTA = {"rate_per_s": 25, "burst": 10}
 
 
 class Process:
-    """A gateway or coordinator that is started again when it ends."""
+    """A gateway or coordinator process that is restarted whenever it ends."""
 
     def __init__(self, soak, program, name, address, zone, folder):
         self.soak = soak
@@ -55,7 +55,7 @@
         self.folder = folder
         self.process = None
         self.first = True
-        # Faults of this process end at this time; promises with a time bound count only well after.
+        # End of the latest fault of this process. Guarantees with a time limit are checked only if it ended CONTACT_SECONDS earlier.
         self.disturbed_until = 0.0
         self.stopped = False
 
@@ -64,7 +64,7 @@
         lines = {"node_name": self.name, "ip": self.address, "zone": self.zone, "internal_ports": f"{base + 10},{base + 20}",
                  "listen_addrs.frontend": f"{self.address}:{base}", "listen_addrs.readiness": f"{self.address}:{base + 1}",
                  "listen_addrs.control": f"{self.address}:{base + 2}", "data_dir": os.path.join(self.folder, "data"),
-                 "seed_nodes": ",".join(f"{address}:{base + 2}" for address in self.soak.seeds_addresses),
+                 "seed_nodes": ",".join(f"{address}:{base + 2}" for address in self.soak.seed_addresses),
                  "bootstrap": "true" if self.first else "false", "fault_tolerance.machines": "1", "heartbeat_ms": "400",
                  "bounds.grace_s": str(int(GRACE_SECONDS)), "bounds.retry_budget_ratio": "0.2", "bounds.retry_window_s": "10", "bounds.retry_slack": "60",
                  "bounds.quota_window_s": str(int(QUOTA_WINDOW_SECONDS)), "bounds.quota_overshoot": str(QUOTA_OVERSHOOT), "bounds.quota_slack": str(QUOTA_SLACK)}
@@ -87,37 +87,37 @@
         code = await process.wait()
         if self.soak.ending:
             return
-        # One that is told to stop before it has set anything up, and so has said nothing yet, ends by the signal itself.
-        said_nothing = os.path.getsize(os.path.join(self.folder, "log.txt")) == self.log_size_at_start
-        if code not in (0, -signal.SIGKILL) and not (code == -signal.SIGTERM and said_nothing):
+        # A process that gets SIGTERM before it has installed its signal handler ends by the signal, which is no crash. Its log is still empty.
+        log_is_unchanged = os.path.getsize(os.path.join(self.folder, "log.txt")) == self.log_size_at_start
+        if code not in (0, -signal.SIGKILL) and not (code == -signal.SIGTERM and log_is_unchanged):
             self.soak.fail("crash", f"{self.name} ended with {code}")
-        self.disturb(0.5)
+        self.record_fault(0.5)
         await asyncio.sleep(self.soak.random.uniform(0.05, 0.6))
         await self.start()
 
-    def disturb(self, seconds):
+    def record_fault(self, seconds):
         self.disturbed_until = max(self.disturbed_until, time.monotonic() + seconds)
 
     def send(self, number):
         if self.process.returncode is None:
             self.process.send_signal(number)
 
-    def was_calm(self, since):
+    def was_stable(self, since):
         return self.disturbed_until < since - CONTACT_SECONDS
 
 
 class Soak:
-    """One seed."""
+    """The run of one seed: a fleet of processes, callers, operators and faults."""
 
     def __init__(self, options, seed):
         self.options = options
         self.seed = seed
         self.random = random.Random(seed)
-        # Second answers, and what makes requests meet them, draw from a generator of their own and leave the draws of the other faults as they are.
-        self.stutter_random = random.Random(f"stutter {seed}")
-        # The same for callers' keys.
+        # Duplicate answers, and the faults that make requests meet them, use a separate generator, so that the draws for the other faults stay the same.
+        self.duplicate_random = random.Random(f"stutter {seed}")
+        # Callers' keys use a separate generator for the same reason.
         self.key_random = random.Random(f"keys {seed}")
-        # Keys by the request that carries them.
+        # The key that each request was sent with, by request id.
         self.key_of = {}
         self.port = 20000 + (seed * 37) % 20000
         self.journal = Journal()
@@ -125,24 +125,24 @@
         self.ending = False
         self.drain_seconds = DRAIN_SECONDS
         self.folder = tempfile.mkdtemp(prefix=f"soak-{seed}-")
-        # Coordinators beyond the seeds are found through them; gateways then have near and far ones to choose from.
+        # Gateways find the coordinators beyond the seed nodes through these, and then choose among coordinators of their own zone and of others.
         self.addresses = [f"127.0.1.{index + 1}" for index in range(options.coordinators)]
-        # Divided: six gateways more in one zone, so that it divides searches among them, most shards there, each with one server only, and one of
-        # them may be missing. So a shard that was late for its part is asked for again at the same gateway and the same server.
+        # With --divided one zone gets six more gateways, so that searches are divided among its gateways, and most of the shards. Each shard has one
+        # server only and a search may lack one shard, so a shard that was late for its part is requested again from the same gateway and server.
         self.gateway_zones = [ZONES[index % len(ZONES)] for index in range(options.coordinators)] + ZONES[:1] * (6 if options.divided else 0)
         self.minimum_coverage = DIVIDED_MINIMUM_COVERAGE if options.divided else MINIMUM_COVERAGE
-        self.seeds_addresses = self.addresses[:3]
+        self.seed_addresses = self.addresses[:3]
         self.backends = []
         self.proxies = []
         self.version = 0
-        # (version, time of the acknowledgement) in their order, and all versions that were sent.
+        # Acknowledged versions as (version, time of the acknowledgement), in order, and the document of each version that was sent.
         self.acknowledged = []
         self.sent = {}
         self.counts = {"answered": 0, "partial": 0, "not_run": 0, "failed": 0, "no_answer": 0, "unrouted": 0, "over_quota": 0, "no_key": 0}
         self.non_idempotent = set()
-        # Requests on one route may be served in this zone's region only.
+        # The only zone whose region may serve requests of the route "home".
         self.home_zone = ZONES[0]
-        # Evacuated zones, with the time of the acknowledgement.
+        # Evacuated zones, with the time at which their evacuation was acknowledged.
         self.evacuated = {}
 
     def fail(self, promise, detail):
@@ -177,7 +177,7 @@
     async def add_backend(self, service, zone, is_shard, identity=None):
         backend = Backend(self, service, zone, is_shard, identity)
         await backend.start()
-        # Every other one is reached through a proxy that can hold, cut and reset.
+        # About half of the backend servers are reached through a proxy that injects network faults.
         if self.random.random() < 0.5:
             proxy = FaultProxy(self.random, "127.0.0.1", backend.port)
             backend.port = await proxy.start()
@@ -187,8 +187,8 @@
         return backend
 
     async def control_call(self, method, path, body=b"", timeout=1.0):
-        """A call on any coordinator, following redirections, as backend servers and operators make it."""
-        order = self.random.sample(self.seeds_addresses, len(self.seeds_addresses))
+        """Calls coordinators in random order, following redirections, until one accepts or rejects the request. Returns None if none does."""
+        order = self.random.sample(self.seed_addresses, len(self.seed_addresses))
         for address in order:
             host, port = address, self.port + 2
             for _ in range(3):
@@ -243,7 +243,7 @@
             self.version += self.random.randint(1, 4)
             kind = self.random.random()
             if kind < 0.2:
-                # Two operators at once with different content under one version.
+                # Two operators send a declaration of the same version at the same time.
                 await asyncio.gather(self.declare(self.version), self.declare(self.version))
             elif kind < 0.3:
                 await self.send_invalid()
@@ -258,7 +258,7 @@
             self.fail("invalid-accepted", f"version {self.version}")
 
     async def order_evacuation(self, method, zone):
-        """Sends an order on a zone until it is acknowledged. Returns whether it was."""
+        """Repeats an evacuation order for a zone until it is acknowledged, for 20 s at most. Returns whether it was acknowledged."""
         deadline = time.monotonic() + 20
         while time.monotonic() < deadline and not self.ending:
             answer = await self.control_call(method, f"/crankrudder/evacuations/{zone}")
@@ -271,29 +271,29 @@
         return False
 
     async def evacuate(self):
-        """A zone after the other is evacuated and used again."""
+        """Evacuates one random zone at a time and withdraws the order after some seconds."""
         while not self.ending:
             await asyncio.sleep(self.random.uniform(1.0, 4.0))
-            # Most of the divided searches need the first two zones.
+            # With --divided the first two zones hold all shards, so searches would fail if one of these zones were evacuated.
             zone = self.random.choice(ZONES[2:] if self.options.divided else ZONES)
             if await self.order_evacuation("POST", zone):
                 self.evacuated[zone] = time.monotonic()
             await asyncio.sleep(self.random.uniform(1.0, 8.0))
-            # What may arrive again once the order to use the zone is on its way is nobody's fault.
+            # Requests may arrive in the zone as soon as the withdrawal is sent, so arrivals are no longer recorded from here.
             self.evacuated.pop(zone, None)
             while not self.ending and not await self.order_evacuation("DELETE", zone):
                 pass
 
-    async def write_foreign(self):
-        """Another program calls under ids of backend servers and others, with what is no heartbeat."""
-        spoiled = [b"", b"\xff\x00{", b"{}", b'{"service": 7}', b'{"service":"records","address":"127.0.0.1:9","zone":"zone-a","state":"odd"}']
+    async def send_malformed_heartbeats(self):
+        """Sends malformed heartbeats under the ids of backend servers and under an unknown id."""
+        malformed_bodies = [b"", b"\xff\x00{", b"{}", b'{"service": 7}', b'{"service":"records","address":"127.0.0.1:9","zone":"zone-a","state":"odd"}']
         while not self.ending:
             await asyncio.sleep(self.random.uniform(0.1, 0.6))
             name = self.random.choice(self.backends).id if self.random.random() < 0.7 else "somebody"
-            await self.control_call("PUT", f"/crankrudder/instances/{name}", self.random.choice(spoiled))
+            await self.control_call("PUT", f"/crankrudder/instances/{name}", self.random.choice(malformed_bodies))
 
     async def read_back(self):
-        """A reader never gets an older version than was acknowledged before it asked."""
+        """Checks that a read returns no older version than the newest one acknowledged before the read."""
         while not self.ending:
             await asyncio.sleep(self.random.uniform(0.3, 1.0))
             newest = self.newest_acknowledged(time.monotonic() - APPLY_SECONDS)
@@ -312,20 +312,20 @@
     # ---- Callers
 
     async def probe_current(self):
-        """A route that came with an acknowledged version is served by every gateway that was calm, and none goes back."""
+        """Checks that gateways without recent faults use the newest acknowledged version, by the route and the key that only that version has."""
         while not self.ending:
             await asyncio.sleep(0.4)
             began = time.monotonic()
             newest = self.newest_acknowledged(began - APPLY_SECONDS)
-            calm_core = all(process.was_calm(began) for process in self.coordinators)
+            coordinators_stable = all(process.was_stable(began) for process in self.coordinators)
             gateway = self.random.choice(self.gateways)
-            if newest < 0 or newest != self.version or not calm_core or not gateway.was_calm(began):
+            if newest < 0 or newest != self.version or not coordinators_stable or not gateway.was_stable(began):
                 continue
             older = max([version for version in self.sent if version < newest], default=newest)
             for version in {newest, older}:
                 headers = {"Host": "h.example", "Request-Id": f"probe-{self.seed}-{version}-{began}", "Credential": f"current-key-{version}"}
                 answer = await call(gateway.address, self.port, "GET", f"/v{newest}/x", headers=headers)
-                still_current = gateway.was_calm(began) and newest == self.version
+                still_current = gateway.was_stable(began) and newest == self.version
                 if answer is not None and still_current and (answer[0] == 404 or (answer[0] == 401) != (version < newest)):
                     self.fail("not-in-force", f"{gateway.name} answers {answer[0]} to the key of version {version} under version {newest}")
 
@@ -338,7 +338,7 @@
             except (OSError, asyncio.TimeoutError):
                 await asyncio.sleep(0.1)
                 continue
-            # A connection is used until the gateway closes it or some requests are done.
+            # A connection is reused until the gateway closes it or a random number of requests is reached.
             for _ in range(self.random.randint(1, 30)):
                 count += 1
                 alive = await self.one_request(gateway, reader, writer, f"{self.seed}-{number}-{count}")
@@ -351,11 +351,11 @@
         kind = self.random.choices(["search", "record", "action", "home"], [6, 2, 3, 1])[0]
         method = "POST" if kind == "action" else "GET"
         body = os.urandom(20).hex().encode() if kind == "action" else b""
-        patience = self.random.choice([300, 800, 2000])
-        lines = [f"{method} /{kind}/{request_id} HTTP/1.1", "Host: h.example", f"Request-Id: {request_id}", f"Deadline-Ms: {patience}", f"Content-Length: {len(body)}"]
+        caller_timeout = self.random.choice([300, 800, 2000])
+        lines = [f"{method} /{kind}/{request_id} HTTP/1.1", "Host: h.example", f"Request-Id: {request_id}", f"Deadline-Ms: {caller_timeout}", f"Content-Length: {len(body)}"]
         key = self.key_random.choice([*KEYS, "beta-key-1", "unknown-key-1", None])
         lines += [f"Credential: {key}"] if key else []
-        # Nobody is taken at his word.
+        # Some requests claim a workspace by its header, which gateways must ignore.
         lines += ["Tenant: alpha"] if self.key_random.random() < 0.2 else []
         self.key_of[request_id] = key
         if kind == "action":
@@ -364,7 +364,7 @@
             writer.write(("\r\n".join(lines) + "\r\n\r\n").encode() + body)
             if self.random.random() < 0.03:
                 return False
-            first, headers, content = await asyncio.wait_for(read_message(reader), patience / 1000 + 1.0)
+            first, headers, content = await asyncio.wait_for(read_message(reader), caller_timeout / 1000 + 1.0)
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
             self.counts["no_answer"] += 1
             return False
@@ -415,102 +415,102 @@
 
     # ---- Faults
 
-    async def disturb(self):
+    async def inject_faults(self):
         while not self.ending:
             await asyncio.sleep(self.random.uniform(0.2, 2.0))
-            fault = self.random.choice([self.kill, self.kill, self.pause, self.roll, self.kill_core, self.slow_backend, self.lose_answers, self.garble_answers,
-                                        self.crash_backend, self.drain_backend, self.drain_backend, self.disturb_proxy, self.wipe_coordinator])
+            fault = self.random.choice([self.kill, self.kill, self.pause, self.roll, self.kill_coordinators, self.slow_backend, self.lose_answers, self.garble_answers,
+                                        self.crash_backend, self.drain_backend, self.drain_backend, self.inject_proxy_fault, self.wipe_coordinator])
             asyncio.create_task(fault())
 
     async def kill(self):
         process = self.random.choice(self.gateways + self.coordinators)
-        process.disturb(1.0)
+        process.record_fault(1.0)
         process.send(signal.SIGKILL)
 
-    async def kill_core(self):
+    async def kill_coordinators(self):
         for process in self.coordinators:
-            process.disturb(1.0)
+            process.record_fault(1.0)
             process.send(signal.SIGKILL)
 
     async def pause(self):
         process = self.random.choice(self.gateways + self.coordinators)
         seconds = self.random.uniform(0.2, 4.0)
-        process.disturb(seconds)
+        process.record_fault(seconds)
         process.send(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         process.send(signal.SIGCONT)
 
     async def roll(self):
         process = self.random.choice(self.gateways + self.coordinators)
-        process.disturb(GRACE_SECONDS)
+        process.record_fault(GRACE_SECONDS)
         process.send(signal.SIGTERM)
 
     async def wipe_coordinator(self):
-        """One folder is lost; no other one while it is being replaced."""
+        """Kills a coordinator and deletes its data folder. Does nothing after a recent fault, since only one folder may be lost at a time."""
         now = time.monotonic()
-        if any(not process.was_calm(now) for process in self.coordinators):
+        if any(not process.was_stable(now) for process in self.coordinators):
             return
         process = self.random.choice(self.coordinators)
-        process.disturb(8.0)
+        process.record_fault(8.0)
         process.send(signal.SIGKILL)
         shutil.rmtree(os.path.join(process.folder, "data"))
         os.makedirs(os.path.join(process.folder, "data"))
 
-    def some_backend(self):
+    def random_backend(self):
         ready = [backend for backend in self.backends if backend.state == "ready" and not backend.gone]
         return self.random.choice(ready)
 
     async def slow_backend(self):
-        backend = self.some_backend()
+        backend = self.random_backend()
         backend.slow = self.random.uniform(5, 60)
         await asyncio.sleep(self.random.uniform(1, 4))
         backend.slow = 1.0
 
     async def lose_answers(self):
-        backend = self.some_backend()
+        backend = self.random_backend()
         backend.lose = self.random.uniform(0.02, 0.5)
         await asyncio.sleep(self.random.uniform(1, 4))
         backend.lose = 0.0
 
     async def garble_answers(self):
-        backend = self.some_backend()
+        backend = self.random_backend()
         backend.garble = self.random.uniform(0.02, 0.5)
         await asyncio.sleep(self.random.uniform(1, 4))
         backend.garble = 0.0
 
-    async def stutter(self):
-        """Servers of a service answer twice, while they refuse, are slow or lose answers: what is asked again for that meets the second answer."""
+    async def inject_duplicates(self):
+        """Lets the servers of a service send duplicates and also refuse, slow down or lose answers, so that retries and hedges meet duplicates."""
         while not self.ending:
-            await asyncio.sleep(self.stutter_random.uniform(0.2, 1.5))
-            service = self.stutter_random.choice([backend for backend in self.backends if not backend.gone]).service
-            asyncio.create_task(self.stutter_answers([backend for backend in self.backends if backend.service == service]))
+            await asyncio.sleep(self.duplicate_random.uniform(0.2, 1.5))
+            service = self.duplicate_random.choice([backend for backend in self.backends if not backend.gone]).service
+            asyncio.create_task(self.duplicate_answers([backend for backend in self.backends if backend.service == service]))
 
-    async def stutter_answers(self, backends):
-        refuse, slow, lose = self.stutter_random.choice([(0.0, 1.0, 0.0), (0.7, 1.0, 0.0), (0.0, 30.0, 0.0), (0.0, 30.0, 0.5)])
+    async def duplicate_answers(self, backends):
+        refuse, slow, lose = self.duplicate_random.choice([(0.0, 1.0, 0.0), (0.7, 1.0, 0.0), (0.0, 30.0, 0.0), (0.0, 30.0, 0.5)])
         for backend in backends:
-            backend.stutter, backend.refuse, backend.slow, backend.lose = self.stutter_random.uniform(0.3, 1.0), refuse, slow, lose
-        await asyncio.sleep(self.stutter_random.uniform(1, 4))
+            backend.duplicate, backend.refuse, backend.slow, backend.lose = self.duplicate_random.uniform(0.3, 1.0), refuse, slow, lose
+        await asyncio.sleep(self.duplicate_random.uniform(1, 4))
         for backend in backends:
-            backend.stutter, backend.refuse, backend.slow, backend.lose = 0.0, 0.0, 1.0, 0.0
+            backend.duplicate, backend.refuse, backend.slow, backend.lose = 0.0, 0.0, 1.0, 0.0
 
     async def crash_backend(self):
-        backend = self.some_backend()
+        backend = self.random_backend()
         backend.crash()
         await asyncio.sleep(self.random.uniform(0.5, 3))
         identity = backend.id if self.random.random() < 0.5 else None
         await self.add_backend(backend.service, backend.zone, backend.is_shard, identity)
 
     async def drain_backend(self):
-        backend = self.some_backend()
+        backend = self.random_backend()
         await self.add_backend(backend.service, backend.zone, backend.is_shard)
         await asyncio.sleep(0.8)
         if not backend.gone:
             await backend.drain()
 
-    async def disturb_proxy(self):
-        await self.random.choice(self.proxies).disturb()
+    async def inject_proxy_fault(self):
+        await self.random.choice(self.proxies).inject_fault()
 
-    # ---- The whole
+    # ---- The run
 
     def check_runs(self):
         for request_id in self.non_idempotent:
@@ -533,26 +533,26 @@
                 if b"-key-" in log.read():
                     self.fail("key-logged", process.name)
         first_runs = sorted(runs[0].at for request_id, runs in self.journal.runs.items() if self.key_of.get(request_id) == "beta-key-1")
-        most = (QUOTA["rate_per_s"] * QUOTA_WINDOW_SECONDS + QUOTA["burst"]) * (1 + QUOTA_OVERSHOOT) + QUOTA_SLACK
+        maximum = (QUOTA["rate_per_s"] * QUOTA_WINDOW_SECONDS + QUOTA["burst"]) * (1 + QUOTA_OVERSHOOT) + QUOTA_SLACK
         for index, began in enumerate(first_runs):
             sent = bisect.bisect_right(first_runs, began + QUOTA_WINDOW_SECONDS) - index
-            if sent > most:
-                self.fail("over-quota", f"{sent} of {most} requests in a window")
+            if sent > maximum:
+                self.fail("over-quota", f"{sent} of {maximum} requests in a window")
                 break
 
     def check_drains(self):
         late = [(backend, after) for backend, after in self.journal.late_arrivals if after > DRAIN_SECONDS]
         for backend, after in late:
             began = backend.drain_acknowledged
-            if all(process.was_calm(began) and process.disturbed_until < began for process in self.coordinators + self.gateways):
+            if all(process.was_stable(began) and process.disturbed_until < began for process in self.coordinators + self.gateways):
                 self.fail("work-after-drain", f"{backend.id} {after:.1f} s after the acknowledgement")
 
     def check_places(self):
-        for backend, request_id in self.journal.strayed:
+        for backend, request_id in self.journal.outside_regions:
             self.fail("out-of-its-regions", f"{request_id} at {backend.id} in {backend.zone}")
         for backend, acknowledged, arrived in self.journal.evacuated_arrivals:
-            calm = all(process.was_calm(arrived) for process in self.coordinators + self.gateways)
-            if arrived - acknowledged > EVACUATE_SECONDS and calm:
+            stable = all(process.was_stable(arrived) for process in self.coordinators + self.gateways)
+            if arrived - acknowledged > EVACUATE_SECONDS and stable:
                 self.fail("evacuated-zone-used", f"{backend.id} in {backend.zone}, {arrived - acknowledged:.1f} s after the acknowledgement")
 
     async def run(self):
@@ -561,25 +561,25 @@
         self.version = 1
         if not await self.declare(1):
             self.fail("never-started", "the first declaration was not acknowledged")
-        tasks = [asyncio.create_task(work) for work in
-                 [self.operate(), self.read_back(), self.probe_current(), self.disturb(), self.evacuate(), self.stutter(), self.write_foreign()] + [self.caller(number) for number in range(self.options.callers)]]
+        tasks = [asyncio.create_task(coroutine) for coroutine in
+                 [self.operate(), self.read_back(), self.probe_current(), self.inject_faults(), self.evacuate(), self.inject_duplicates(), self.send_malformed_heartbeats()] + [self.caller(number) for number in range(self.options.callers)]]
         await asyncio.sleep(self.options.seconds)
         await self.finish(tasks)
         return not self.failures
 
     async def finish(self, tasks):
-        """Faults end; what was acknowledged has to be there, and requests have to be served again."""
+        """Ends the faults except for one kill of all coordinators, then checks that acknowledged state is kept and that requests are served again."""
         for faults in tasks[3:6]:
             faults.cancel()
         for process in self.coordinators + self.gateways:
             process.send(signal.SIGCONT)
-        # One zone stays evacuated through the death of all coordinators.
+        # One zone stays evacuated while all coordinators are killed, to check that the order survives their restart.
         zone = self.random.choice(ZONES)
         for other in ZONES:
             self.evacuated.pop(other, None)
             await self.order_evacuation("POST" if other == zone else "DELETE", other)
         self.evacuated[zone] = time.monotonic()
-        await self.kill_core()
+        await self.kill_coordinators()
         before = self.counts["answered"] + self.counts["partial"]
         await asyncio.sleep(8.0)
         if self.counts["answered"] + self.counts["partial"] == before:
@@ -617,24 +617,24 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--binaries", default="target", help="the build folder with the daemons")
-    parser.add_argument("--seeds", default="1", help="as in 1-5,9; 0 draws one from the clock")
+    parser.add_argument("--binaries", default="target", help="build folder that contains the daemons")
+    parser.add_argument("--seeds", default="1", help="seeds such as 1-5,9; 0 takes the seed from the clock")
     parser.add_argument("--seconds", type=float, default=20.0, help="how long faults are injected for each seed")
-    parser.add_argument("--coordinators", type=int, default=3, choices=range(3, 10), metavar="3-9", help="coordinators, and gateways beside them")
-    parser.add_argument("--divided", action="store_true", help="searches are divided among many gateways of a zone, and each shard has one server")
-    parser.add_argument("--callers", type=int, default=8, help="callers at the same time")
+    parser.add_argument("--coordinators", type=int, default=3, choices=range(3, 10), metavar="3-9", help="number of coordinators, and of gateways")
+    parser.add_argument("--divided", action="store_true", help="add gateways to one zone, so that it divides searches among them, and use one server per shard")
+    parser.add_argument("--callers", type=int, default=8, help="number of concurrent callers")
     options = parser.parse_args()
     options.binaries = os.path.abspath(options.binaries)
     passed = failed = 0
     for seed in parse_seeds(options.seeds):
         seed = seed or int(time.time())
         soak = Soak(options, seed)
-        good = asyncio.run(soak.run())
-        passed += good
-        failed += not good
-        print(f"event=soak.finished seed={seed} outcome={'passed' if good else 'failed'} " + " ".join(f"{name}={value}" for name, value in soak.counts.items())
-              + (f" logs={soak.folder}" if not good else ""), flush=True)
-        if good:
+        succeeded = asyncio.run(soak.run())
+        passed += succeeded
+        failed += not succeeded
+        print(f"event=soak.finished seed={seed} outcome={'passed' if succeeded else 'failed'} " + " ".join(f"{name}={value}" for name, value in soak.counts.items())
+              + (f" logs={soak.folder}" if not succeeded else ""), flush=True)
+        if succeeded:
             shutil.rmtree(soak.folder)
     print(f"{passed} passed, {failed} failed")
     return 1 if failed else 0
