--- a/Meta/CMake/Targets.cmake
+++ b/Meta/CMake/Targets.cmake
@@ -1,11 +1,11 @@
-# Functions with which every folder declares its targets alike.
+# Functions that all folders use to declare their targets.
 
 function(crankrudder_set_warnings target)
-    # GCC 12 reports -Wrestrict falsely for replacements within std::string when it optimises (GCC bug 105329).
+    # GCC 12 with optimisation reports -Wrestrict falsely for replacements within a std::string (GCC bug 105329).
     target_compile_options(${target} PRIVATE -Wall -Wextra -Wpedantic -Wno-restrict -Wshadow=local -Wno-missing-field-initializers -Werror)
 endfunction()
 
-# A static library made of all sources in its folder.
+# Declares a static library of all sources in the folder: crankrudder_library NAME LIBRARIES…
 function(crankrudder_library name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cpp)
     add_library(${name} STATIC ${sources})
@@ -14,6 +14,7 @@
     crankrudder_set_warnings(${name})
 endfunction()
 
+# Declares a program of all sources in the folder: crankrudder_program NAME LIBRARIES…
 function(crankrudder_program name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cpp)
     add_executable(${name} ${sources})
@@ -22,7 +23,7 @@
     crankrudder_set_warnings(${name})
 endfunction()
 
-# One Criterion program for each library, made of all Test*.cpp in its folder.
+# Declares a Criterion test program of all Test*.cpp in the folder: crankrudder_test NAME LIBRARIES…
 function(crankrudder_test name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/Test*.cpp)
     add_executable(${name} ${sources})
--- a/Meta/crankrudder.sh
+++ b/Meta/crankrudder.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The one command for developers and for a first look. See README.md.
+# Builds, tests, formats, measures and demonstrates the system. README.md describes the commands.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export BUILD=${BUILD:-Build}
@@ -8,14 +8,14 @@
     cat <<'TEXT'
 usage: Meta/crankrudder.sh COMMAND
 
-  demo [--break wrong-reply]   builds, runs both deployments in small on loopback, reports broken promises
+  demo [--break wrong-reply]   builds, runs small versions of both deployments on loopback, checks the guarantees
   test                         builds, checks format and lint, runs all tests
   build                        builds everything
   format                       formats all sources in place
   lint                         runs the linter alone
   models                       checks the protocol models with Spin
-  soak [--seeds 1-5] [--seconds 20]   injects faults into the real programs, checks the promises
-  measure tail|control|capacity   measures; figures go to standard output
+  soak [--seeds 1-5] [--seconds 20]   injects faults into the real programs, checks the guarantees
+  measure tail|control|capacity   prints measurements
 TEXT
 }
 
@@ -34,7 +34,7 @@
 }
 
 lint() {
-    # run-clang-tidy is not in every package of clang-tidy, so xargs spreads the files over the cores.
+    # Not every package of clang-tidy contains run-clang-tidy, so xargs distributes the files over the cores.
     sources | grep '\.cpp$' | xargs -P "$(nproc)" -n 2 clang-tidy --quiet --extra-arg=-Wno-unknown-warning-option -p "$BUILD" 2>&1 \
         | { grep -v -E '^[0-9]+ warnings? (generated|treated as)' || true; } | tee "${BUILD}/lint.txt"
     if grep -q -E '(warning|error):' "${BUILD}/lint.txt"; then
@@ -43,7 +43,8 @@
     echo "event=lint.checked files=$(sources | grep -c '\.cpp$')"
 }
 
-# Names of the tests in KNOWN-RED.txt, a line each as "Test: cause, issue", joined for ctest. Empty without the file.
+# Prints the names of the tests that KNOWN-RED.txt lists as "Test: cause, issue", one per line, joined as a regular expression for
+# ctest. Prints nothing without the file.
 known_red() { [ -f KNOWN-RED.txt ] && sed -n 's/^\([A-Za-z0-9]*\):.*/\1/p' KNOWN-RED.txt | paste -sd'|' || true; }
 
 run_tests() {
--- a/Meta/demo.sh
+++ b/Meta/demo.sh
@@ -1,10 +1,12 @@
 #!/usr/bin/env bash
-# Both deployments of the users in small, on loopback, for a bounded time: a
-# replica is lost and another one straggles on the way. Ends with one line
-# event=demo.finished; the exit code is 0 only when no promise was broken.
+# Runs small versions of both deployments of the users on loopback for a limited
+# time, during which one replica is killed and another one is a straggler. Prints
+# one line event=demo.finished at the end. The exit code is 0 only if all answers
+# were correct, none was lost, no action ran twice, and no action ran that was
+# reported as not run.
 #
-# --break wrong-reply lets one stand-in send documents of another version under
-# the right name, to show that the demonstration can fail.
+# With --break wrong-reply one fake backend server sends documents of another
+# version under the requested one, to show that the demonstration can fail.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-Build}
@@ -63,10 +65,10 @@
 MIXED=$(fleet_field "$TOTAL" mixed_snapshots)
 WRONG=$(fleet_field "$TOTAL" wrong_answers)
 LOST=$(fleet_field "$TOTAL" lost)
-DOUBLED=$(fleet_doubled_actions)
+DUPLICATES=$(fleet_duplicate_actions)
 FALSE_NOT_RUN=$(fleet_false_not_run)
 SEARCHES=$(grep 'kind=search' "${FLEET_FOLDER}/load.txt" | sed 's/.* answered=\([0-9]*\).*/\1/' | awk '{ sum += $1 } END { print sum + 0 }')
 P99=$(fleet_field "$TOTAL" p99_ms)
 COVERED=$(fleet_field "$TOTAL" covered_pct)
-echo "event=demo.finished searches=${SEARCHES} answered=${ANSWERED} lost=${LOST} p99_ms=${P99} covered_pct=${COVERED} mixed_snapshots=${MIXED} doubled_actions=${DOUBLED} false_not_run=${FALSE_NOT_RUN} wrong_answers=${WRONG}"
-[ "$SEARCHES" -gt 0 ] && [ "$MIXED" -eq 0 ] && [ "$DOUBLED" -eq 0 ] && [ "$FALSE_NOT_RUN" -eq 0 ] && [ "$WRONG" -eq 0 ] && [ "$LOST" -eq 0 ]
+echo "event=demo.finished searches=${SEARCHES} answered=${ANSWERED} lost=${LOST} p99_ms=${P99} covered_pct=${COVERED} mixed_snapshots=${MIXED} doubled_actions=${DUPLICATES} false_not_run=${FALSE_NOT_RUN} wrong_answers=${WRONG}"
+[ "$SEARCHES" -gt 0 ] && [ "$MIXED" -eq 0 ] && [ "$DUPLICATES" -eq 0 ] && [ "$FALSE_NOT_RUN" -eq 0 ] && [ "$WRONG" -eq 0 ] && [ "$LOST" -eq 0 ]
--- a/Meta/fleet.sh
+++ b/Meta/fleet.sh
@@ -1,5 +1,6 @@
-# Functions that start and stop a small fleet on loopback. Sourced by the
-# demonstration and the measurements. Everything started is ended by process id.
+# Functions that start and stop a small fleet on loopback, sourced by the
+# demonstration, the measurements and the end-to-end tests. At the end the started
+# processes are stopped by their process ids.
 
 FLEET_HOST=127.0.0.1
 FLEET_CONTROL_PORT=21000
@@ -53,7 +54,7 @@
 fleet_operator_address() { echo "${FLEET_HOST}:$((FLEET_CONTROL_PORT + $1 * 10))"; }
 fleet_entry_address() { echo "${FLEET_HOST}:$((FLEET_CONTROL_PORT + $1 * 10 + 1))"; }
 
-# fleet_list COUNT FUNCTION: the addresses of 0 to COUNT - 1, with commas.
+# Prints the addresses of instances 0 to COUNT - 1, separated by commas: fleet_list COUNT FUNCTION
 fleet_list() {
     local index list=""
     for ((index = 0; index < $1; ++index)); do
@@ -78,7 +79,7 @@
 fleet_peer_address() { echo "${FLEET_HOST}:$((FLEET_ENTRY_PORT + $1 * 10 + 3))"; }
 fleet_target() { echo "$(fleet_caller_address "$1")/$(fleet_admin_address "$1")"; }
 
-# fleet_start_entry INDEX ENTRIES CONTROLS ARGUMENTS…
+# Starts an entry instance: fleet_start_entry INDEX ENTRIES CONTROLS ARGUMENTS…
 fleet_start_entry() {
     local index=$1 entries=$2 controls=$3 other peers=""
     shift 3
@@ -95,7 +96,7 @@
         --control "$(fleet_list "$controls" fleet_entry_address)" --peers "$peers" "$@"
 }
 
-# fleet_start_backend SERVICE SHARD SHARDS SUFFIX ENTRIES ARGUMENTS…: one replica in one process.
+# Starts one replica in a process of its own: fleet_start_backend SERVICE SHARD SHARDS SUFFIX ENTRIES ARGUMENTS…
 fleet_start_backend() {
     local service=$1 shard=$2 shards=$3 suffix=$4 entries=$5
     shift 5
@@ -112,7 +113,7 @@
     "${BUILD}/Utilities/crankctl/crankctl" --control "$(fleet_list "$controls" fleet_operator_address)" "$@"
 }
 
-# Founds the log and declares a configuration: fleet_declare CONTROLS FILE
+# Bootstraps the log and applies a configuration: fleet_declare CONTROLS FILE
 fleet_declare() {
     local tries
     for ((tries = 0; tries < 50; ++tries)); do
@@ -124,7 +125,7 @@
     fleet_ctl "$1" apply "$2"
 }
 
-# Starts control instances, founds and declares, starts entry instances: fleet_start_instances CONTROLS ENTRIES FILE
+# Starts control instances, bootstraps them with a configuration and starts entry instances: fleet_start_instances CONTROLS ENTRIES FILE
 fleet_start_instances() {
     local index
     for ((index = 0; index < $1; ++index)); do
@@ -136,12 +137,12 @@
     done
 }
 
-# The number of the control instance that leads, empty when none does: fleet_leader CONTROLS
+# Prints the number of the control instance that is the leader, or nothing if there is none: fleet_leader CONTROLS
 fleet_leader() {
     { fleet_ctl "$1" status 2>/dev/null || true; } | sed -n 's/^instance=control-\([0-9]*\) role=leader.*/\1/p' | tail -n 1
 }
 
-# Waits until every entry instance is ready and knows that many backend servers: fleet_await_backends ENTRIES COUNT
+# Waits until every entry instance is ready and knows COUNT backend servers, for 150 attempts each: fleet_await_backends ENTRIES COUNT
 fleet_await_backends() {
     local index tries page
     for ((index = 0; index < $1; ++index)); do
@@ -155,17 +156,17 @@
     done
 }
 
-# Reads one field of an event line: fleet_field LINE NAME
+# Prints the value of one field of an event line: fleet_field LINE NAME
 fleet_field() {
     sed -n "s/.* $2=\([^ ]*\).*/\1/p" <<<"$1"
 }
 
-# Keys that were executed more than once, over all stand-ins.
-fleet_doubled_actions() {
+# Prints the number of keys that the fake backend servers together executed more than once.
+fleet_duplicate_actions() {
     cat "${FLEET_FOLDER}"/actions-*.txt 2>/dev/null | sort | uniq -d | wc -l
 }
 
-# Keys whose final answer was "not run" and which ran all the same.
+# Prints the number of keys whose final answer was "not run" although they were executed.
 fleet_false_not_run() {
     sort -u "${FLEET_FOLDER}/not-run.txt" 2>/dev/null >"${FLEET_FOLDER}/not-run.sorted" || true
     cat "${FLEET_FOLDER}"/actions-*.txt 2>/dev/null | sort -u | comm -12 - "${FLEET_FOLDER}/not-run.sorted" | wc -l
--- a/Meta/install-dependencies.sh
+++ b/Meta/install-dependencies.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what building and testing need, from Debian's packages by name.
+# Installs the Debian packages that the build and the tests need.
 set -euo pipefail
 
 PACKAGES=(
--- a/Meta/measure-capacity.sh
+++ b/Meta/measure-capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Slopes for docs/CAPACITY.md: in one process, and of a real entry instance that
-# answers searches over HTTP at two fan-outs.
+# Measures the cost slopes in docs/CAPACITY.md: inside one process, and of an entry
+# instance that answers searches over HTTP with 8 and with 58 shards.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-Build}
@@ -8,7 +8,7 @@
 
 "${BUILD}/Utilities/crankmeasure/crankmeasure" --mode slopes --log-level error
 
-# Processor time of an entry instance: measure_entry SHARDS RATE
+# Measures the processor time of an entry instance per search: measure_entry SHARDS RATE
 measure_entry() {
     local shards=$1 rate=$2 before after line
     fleet_begin
--- a/Meta/measure-control.sh
+++ b/Meta/measure-control.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Figures of the control plane, from three control instances on this machine.
+# Measures the control plane with three control instances on this machine: claims, idle traffic, a change, loss of the leader, a restart.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-Build}
@@ -11,7 +11,7 @@
     "${BUILD}/Utilities/crankmeasure/crankmeasure" --mode claims --control "$(fleet_list "$CONTROLS" fleet_entry_address)" --log-level error "$@"
 }
 
-# Sum of the processor time of a process so far, in ticks of 10 ms.
+# Prints the processor time that a process has used, in ticks of 10 ms: ticks_of NAME
 ticks_of() { awk '{ print $14 + $15 }' "/proc/${FLEET_PID_OF[$1]}/stat"; }
 
 fleet_begin
@@ -22,7 +22,7 @@
 measure_claims --in-flight 64 --duration-ms 3000
 measure_claims --in-flight 512 --duration-ms 3000
 
-# Control traffic and processor time of an idle entry instance.
+# Measures control traffic and processor time of an idle entry instance.
 before=$(curl -s "http://$(fleet_admin_address 0)/metrics" | awk '/^crankrudder_control_bytes_total/ { sum += $2 } END { print sum }')
 ticks_before=$(ticks_of entry-0)
 sleep 10
@@ -31,7 +31,7 @@
 awk -v b="$before" -v a="$after" -v tb="$ticks_before" -v ta="$ticks_after" \
     'BEGIN { printf "event=measure.entry_idle control_bytes_per_s=%.0f processor_pct=%.2f\n", (a - b) / 10, (ta - tb) / 10 }'
 
-# A change, from the operator's call until every entry instance has confirmed it.
+# Measures the time of a change from the operator's call until every entry instance has confirmed it.
 sed 's/"maximum_entry_instances": 10/"maximum_entry_instances": 9/' Meta/Demo/configuration.json >"${FLEET_FOLDER}/changed.json"
 started=$(date +%s%N)
 fleet_ctl "$CONTROLS" apply "${FLEET_FOLDER}/changed.json" >/dev/null 2>&1
@@ -39,18 +39,18 @@
 while [ "$(fleet_ctl "$CONTROLS" status 2>/dev/null | grep -c 'confirmed_revision=2')" -lt "$ENTRIES" ]; do
     sleep 0.02
 done
-everywhere=$(date +%s%N)
-echo "event=measure.change accepted_ms=$(((accepted - started) / 1000000)) in_force_everywhere_ms=$(((everywhere - started) / 1000000))"
+confirmed=$(date +%s%N)
+echo "event=measure.change accepted_ms=$(((accepted - started) / 1000000)) in_force_everywhere_ms=$(((confirmed - started) / 1000000))"
 
-# The leader is killed under claims.
+# Measures the longest time without a granted claim while the leader is killed.
 measure_claims --in-flight 16 --duration-ms 8000 &
 sleep 2
-victim=$(fleet_leader "$CONTROLS")
-fleet_stop "control-${victim}" KILL
+leader=$(fleet_leader "$CONTROLS")
+fleet_stop "control-${leader}" KILL
 wait $!
-fleet_start_control "$victim"
+fleet_start_control "$leader"
 
-# A restart after many changes.
+# Measures the restart of a control instance after 200 changes.
 for ((change = 0; change < 100; ++change)); do
     fleet_ctl "$CONTROLS" apply Meta/Demo/configuration.json >/dev/null 2>&1
     fleet_ctl "$CONTROLS" apply "${FLEET_FOLDER}/changed.json" >/dev/null 2>&1
--- a/Meta/measure-tail.sh
+++ b/Meta/measure-tail.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# The query path against named baselines, in one run: adaptive (this version),
-# fixed (hedge after 30 ms), off (no hedges), random (no hedges, any replica).
-# One service of 50 shards of 2 replicas with 2 slots, 40 ms a request, as the
-# users' catalogue and hotline; 5 entry instances.
+# Measures the query path with adaptive hedging (this version) and with named
+# baselines in one run: fixed (hedge after 30 ms), off (no hedges) and random (no
+# hedges, random replica). The fleet has 5 entry instances and one service of 50
+# shards with 2 replicas of 2 slots and 40 ms per request, like the users'
+# catalogue and hotline.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-Build}
@@ -12,7 +13,7 @@
 SHARDS=50
 SECONDS_EACH=${TAIL_SECONDS:-6}
 
-# measure_case CASE BASELINE RATE BACKEND-ARGUMENTS…
+# Measures one case with one baseline: measure_case CASE BASELINE RATE BACKEND-ARGUMENTS…
 measure_case() {
     local name=$1 baseline=$2 rate=$3 index suffix mode=() line
     shift 3
@@ -34,7 +35,7 @@
         if [ "$name" = lying ] && [ "$suffix" = b ]; then
             extra=(--load-report huge)
         fi
-        # Ten processes of five shards each, so that a tenth can be lost.
+        # Each zone has ten processes of five shards each, so that killing one process loses a tenth of a zone's replicas.
         for ((index = 0; index < 10; ++index)); do
             fleet_start "hotline-${index}-${suffix}" "${BUILD}/Utilities/fakebackendd/fakebackendd" --service hotline --shard-count "$SHARDS" --first-shard $((index * 5)) \
                 --hosted-shards 5 --replica-suffix "$suffix" --zone "zone-${suffix}" --listen "${FLEET_HOST}:${FLEET_BACKEND_PORT}" \
@@ -43,7 +44,7 @@
         done
     done
     fleet_await_backends "$ENTRIES" $((2 * SHARDS))
-    # Connections are warm and latencies known before anything is counted.
+    # A first load opens connections and fills the latency statistics; it is not counted.
     "${BUILD}/Utilities/crankload/crankload" --targets "$(fleet_list "$ENTRIES" fleet_target)" --expected-ready "$ENTRIES" --duration-ms 3000 --log-level error \
         --streams "hotline:search:25:320" >/dev/null
     local before after
@@ -67,7 +68,7 @@
     FLEET_PIDS=()
 }
 
-# First attempts, and hedges with retries, over all entry instances.
+# Prints the number of first attempts and the number of hedges and retries, summed over all entry instances.
 count_attempts() {
     local index
     for ((index = 0; index < ENTRIES; ++index)); do
--- a/Meta/models.sh
+++ b/Meta/models.sh
@@ -1,18 +1,19 @@
 #!/usr/bin/env bash
-# Checks every model in Tests/Models with Spin, and every broken rule in it,
-# which Spin has to find.
+# Checks every model in Tests/Models with Spin, which must find no error, and every
+# mutant of a model (a rule deliberately broken), in which Spin must find one.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 FOLDER=$(mktemp -d)
 trap 'rm -rf "$FOLDER"' EXIT
 
-# check_model FILE MUTANT: prints the number of errors and of states.
+# Checks one mutant of a model; mutant 0 is the model itself. Prints the number of errors, of states, and whether the search was truncated:
+# check_model FILE MUTANT
 check_model() {
-    local work="${FOLDER}/$(basename "$1" .pml)-$2"
-    mkdir "$work"
-    cp "$1" "$work/model.pml"
+    local directory="${FOLDER}/$(basename "$1" .pml)-$2"
+    mkdir "$directory"
+    cp "$1" "$directory/model.pml"
     (
-        cd "$work"
+        cd "$directory"
         spin "-DMUTANT=$2" -a model.pml >spin.txt
         gcc -O2 -w -DSAFETY -DVECTORSZ=2048 -o pan pan.c
         ./pan -m200000 -w22 >pan.txt
@@ -24,7 +25,7 @@
 
 passed=0
 failed=0
-caught=0
+detected=0
 for model in Tests/Models/*.pml; do
     name=$(basename "$model" .pml)
     read -r errors states truncated < <(check_model "$model" 0)
@@ -38,11 +39,11 @@
         read -r errors states truncated < <(check_model "$model" "$mutant")
         echo "event=models.mutant model=${name} mutant=${mutant} errors=${errors} states=${states}"
         if [ "$errors" -gt 0 ]; then
-            caught=$((caught + 1))
+            detected=$((detected + 1))
         else
             failed=$((failed + 1))
         fi
     done
 done
-echo "event=models.finished passed=${passed} mutants_caught=${caught} failed=${failed}"
+echo "event=models.finished passed=${passed} mutants_caught=${detected} failed=${failed}"
 [ "$failed" -eq 0 ]
--- a/Tests/EndToEnd/faults.sh
+++ b/Tests/EndToEnd/faults.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# Real processes under load, with one kind of fault: kills (kill -9 of the
-# leading control instance, an entry instance and a replica), pauses (SIGSTOP
-# of the leader and of an entry instance for seconds), or a rolling restart of
-# all entry and control instances. Checks promises only, never times.
+# Runs a fleet of processes under load with one kind of fault: kills (SIGKILL of
+# the leader of the control instances, an entry instance and a replica), pauses
+# (SIGSTOP of the leader and of an entry instance for seconds), or a rolling
+# restart of all entry and control instances. Checks that answers are correct, that
+# no action runs twice, and that none runs that was reported as not run. Times are
+# not checked.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 : "${BUILD:?}"
@@ -11,7 +13,7 @@
 ENTRIES=3
 CONTROLS=3
 
-# The leader's number; without a leader there is nothing to prove, so the test fails.
+# Prints the leader's number. Fails if there is none within 5 s, since the test cannot go on without a leader.
 leader_index() {
     local tries leader
     for ((tries = 0; tries < 50; ++tries)); do
@@ -96,15 +98,15 @@
 cat "${FLEET_FOLDER}/load.out"
 
 TOTAL=$(tail -n 1 "${FLEET_FOLDER}/load.out")
-DOUBLED=$(fleet_doubled_actions)
+DUPLICATES=$(fleet_duplicate_actions)
 FALSE_NOT_RUN=$(fleet_false_not_run)
 ANSWERED=$(fleet_field "$TOTAL" answered)
-BROKEN=$((DOUBLED + FALSE_NOT_RUN + $(fleet_field "$TOTAL" mixed_snapshots) + $(fleet_field "$TOTAL" wrong_answers)))
+BROKEN=$((DUPLICATES + FALSE_NOT_RUN + $(fleet_field "$TOTAL" mixed_snapshots) + $(fleet_field "$TOTAL" wrong_answers)))
 if [ "$KIND" = rolling ]; then
-    # A planned stop cuts nothing in flight and refuses nothing.
+    # A planned stop must neither lose requests in flight nor refuse new ones.
     BROKEN=$((BROKEN + $(fleet_field "$TOTAL" lost) + $(fleet_field "$TOTAL" refused_unknown) + $(fleet_field "$TOTAL" refused_not_run)))
 fi
-echo "event=faults.finished kind=${KIND} answered=${ANSWERED} lost=$(fleet_field "$TOTAL" lost) doubled_actions=${DOUBLED} false_not_run=${FALSE_NOT_RUN} broken=${BROKEN}"
+echo "event=faults.finished kind=${KIND} answered=${ANSWERED} lost=$(fleet_field "$TOTAL" lost) doubled_actions=${DUPLICATES} false_not_run=${FALSE_NOT_RUN} broken=${BROKEN}"
 if [ "$ANSWERED" -eq 0 ] || [ "$BROKEN" -ne 0 ]; then
     grep -h request.refused "${FLEET_FOLDER}"/entry-*.log | grep -v in-progress | head -n 20
     tail -n 5 "${FLEET_FOLDER}"/entry-*.log "${FLEET_FOLDER}"/control-*.log
--- a/Tests/Models/claim.pml
+++ b/Tests/Models/claim.pml
@@ -1,14 +1,14 @@
 /*
- * The claim of a non-repeatable request (docs/ACTIONS.md, A1 to A5): two
- * attempts with one key, at two entry instances, either of which may crash at
- * any step, lose an answer, or be paused while the other goes on.
+ * Models the claim of a non-idempotent request (docs/ACTIONS.md, A1 to A5):
+ * three attempts with one key, each at its own entry instance, which may crash
+ * at any step, lose an answer, or pause while the others proceed.
  *
- * Checked: the action runs at most once; "not run" is said only of what did
- * not run.
+ * Checked: the action runs at most once, and "not run" is reported only if it
+ * did not run.
  *
  * MUTANT 1: a claim is released although the action may have run (A4).
  * MUTANT 2: any attempt may release a claim.
- * MUTANT 3: a grant is used although "not run" was said (A2).
+ * MUTANT 3: a grant is used although "not run" was reported (A2).
  */
 #ifndef MUTANT
 #define MUTANT 0
@@ -19,7 +19,7 @@
 byte holder = 255;
 byte runs = 0;
 
-inline ask(me, granted) {
+inline tryClaim(me, granted) {
     atomic {
         if
         :: record == FREE -> record = HELD; holder = me; granted = true
@@ -40,41 +40,41 @@
 
 proctype attempt(byte me) {
     bool granted = false;
-    bool saidNotRun = false;
+    bool reportedNotRun = false;
     bool ran = false;
 
-    /* The answer to the claim may be lost; then it is asked for again, or the caller is told "not run". */
+    /* The answer to the claim may be lost. The claim is then sent again, or the caller gets "not run". */
     do
-    :: true -> ask(me, granted); break
-    :: true -> ask(me, granted); granted = false
-    :: saidNotRun = true; break
+    :: true -> tryClaim(me, granted); break
+    :: true -> tryClaim(me, granted); granted = false
+    :: reportedNotRun = true; break
     :: goto crashed
     od;
     if
-    :: saidNotRun ->
+    :: reportedNotRun ->
         if
-        :: MUTANT == 3 -> ask(me, granted)
+        :: MUTANT == 3 -> tryClaim(me, granted)
         :: else -> release(me)
         fi
     :: else
     fi;
     if
-    :: granted && (!saidNotRun || MUTANT == 3) ->
+    :: granted && (!reportedNotRun || MUTANT == 3) ->
         if
-        :: true -> /* refused by the backend server, provably not run */
+        :: true -> /* refused by the backend server, so certainly not run */
             release(me);
-            saidNotRun = true
+            reportedNotRun = true
         :: /* sent, ran, answered */
             runs++;
             ran = true;
             assert(runs <= 1);
-            assert(!saidNotRun);
+            assert(!reportedNotRun);
             atomic { if :: record == HELD && holder == me -> record = DONE :: else fi }
         :: /* sent, ran, the answer was lost */
             runs++;
             ran = true;
             assert(runs <= 1);
-            assert(!saidNotRun);
+            assert(!reportedNotRun);
             if
             :: MUTANT == 1 -> release(me)
             :: else
--- a/Tests/Models/election.pml
+++ b/Tests/Models/election.pml
@@ -1,14 +1,14 @@
 /*
- * Elections with a log (docs/REPLICATED-LOG.md, E2 to E4 and R2 to R5): three
- * voters, any of which may crash at any moment and keeps what is on disk.
- * Messages are taken as single steps between two instances; a lost message is
- * a step that does not happen, a cut is many of them.
+ * Models leader election and replication (docs/REPLICATED-LOG.md, E2 to E4 and
+ * R2 to R5) with three voters, each of which may crash at any moment and keeps
+ * what is on its disk. An exchange of messages is a single step of two voters. A
+ * lost message is a step that does not happen; in a partition many do not happen.
  *
- * Checked: what is committed at an index never changes.
+ * Checked: the committed entry at an index never changes.
  *
- * MUTANT 1: votes without the comparison of logs (E2).
- * MUTANT 2: a crash forgets the vote (E3).
- * MUTANT 3: entries of an older term are committed by count (R5).
+ * MUTANT 1: a vote is given without comparing the logs (E2).
+ * MUTANT 2: a crash loses the vote (E3).
+ * MUTANT 3: entries of an older term are committed once a quorum has them (R5).
  */
 #ifndef MUTANT
 #define MUTANT 0
@@ -32,7 +32,7 @@
     fi
 }
 
-/* E3, E4: c gets the vote of v in a new term and with its own has a quorum. */
+/* E3, E4: c gets the vote of v in a new term, which is a quorum together with its own. */
 inline elect(c, v, t) {
     last_term(c, own);
     last_term(v, other);
@@ -46,7 +46,7 @@
     fi
 }
 
-/* R2, R3: f takes the leader's log and gives up what differs. */
+/* R2, R3: f replaces its log by the leader's, so that its differing entries are removed. */
 inline replicate(l, f) {
     if
     :: leads[l] && term[f] <= term[l] ->
@@ -66,7 +66,7 @@
     fi
 }
 
-/* R5: f holds entry i as the leader l does, which makes a quorum of two. */
+/* R5: f has the same entry i as the leader l, so that a quorum of two has it and it is committed. */
 inline commit(l, f, i) {
     if
     :: leads[l] && term[f] == term[l] && i < length[l] && i < length[f] && ENTRY(l, i) == ENTRY(f, i) && (MUTANT == 3 || ENTRY(l, i) == term[l]) ->
--- a/Tests/Models/evacuation.pml
+++ b/Tests/Models/evacuation.pml
@@ -1,15 +1,16 @@
 /*
- * Orders on one availability zone (docs/PLATFORM.md, "Evacuated zones"): an
- * operator evacuates it and uses it again by turns. He sends each order to any
- * coordinator, again and again, until one acknowledges it, and what he sent may
- * be read late, by a coordinator that stood still and still takes itself for
- * the leader. Leaders change at any moment. The log is taken for granted: what a
- * deposed leader proposes is never committed, and a new leader holds all that was.
+ * Models orders on one availability zone (docs/PLATFORM.md, "Evacuated zones").
+ * An operator alternately evacuates the zone and withdraws the evacuation. Each
+ * order is sent repeatedly to any coordinator until one acknowledges it. A
+ * coordinator that was paused may read an order late, while it still assumes that
+ * it is the leader. The leader may change at any moment. The log is not modelled:
+ * a proposal of a deposed leader is never committed, and a new leader has all
+ * committed entries.
  *
- * Checked: once an order is acknowledged, and until the operator sends the next
- * one, it is what the log says.
+ * Checked: from the acknowledgement of an order until the operator sends the next
+ * one, the committed log agrees with the order.
  *
- * MUTANT 1: a follower acknowledges what it has applied already.
+ * MUTANT 1: a follower acknowledges an order that matches its applied state.
  * MUTANT 2: an order waits at a coordinator until that one leads.
  * MUTANT 3: an order is acknowledged when it is proposed.
  */
@@ -22,14 +23,14 @@
 #define NONE 255
 
 byte term = 0;
-byte leads[COORDINATORS];     /* the term in which it takes itself for the leader, or NONE */
-bool evacuated = false;       /* by the committed log */
-bool applied[COORDINATORS];   /* what each has applied of it, perhaps some time ago */
+byte leads[COORDINATORS];     /* the latest term in which it assumes that it is the leader, or NONE */
+bool evacuated = false;       /* state in the committed log */
+bool applied[COORDINATORS];   /* state that each coordinator has applied, possibly outdated */
 
-byte order = 0;               /* number of the operator's order; the odd ones evacuate */
+byte order = 0;               /* number of the operator's latest order; odd orders evacuate */
 bool acknowledged = true;
 
-/* What a coordinator has not read yet: an order's number, or NONE. */
+/* Number of the order that a coordinator has received but not read, or NONE. */
 byte unread[COORDINATORS];
 
 inline check() {
@@ -43,8 +44,8 @@
     fi
 }
 
-/* A coordinator reads what has come, and passes it on to nobody. */
-inline takeOrder(c) {
+/* A coordinator reads the received order and does not forward it. */
+inline handleOrder(c) {
     number = unread[c];
     if
     :: leads[c] == NONE && MUTANT == 2 -> skip
@@ -70,11 +71,11 @@
     od;
     leads[0] = 0;
     do
-    /* The operator's next order, and each time that he sends it. */
+    /* The operator issues the next order, and sends the current one until it is acknowledged. */
     :: atomic { acknowledged && order < ORDERS -> order++; acknowledged = false }
     :: atomic { select(c : 0 .. (COORDINATORS - 1)); if :: !acknowledged && unread[c] == NONE -> unread[c] = order :: else fi }
-    :: atomic { select(c : 0 .. (COORDINATORS - 1)); if :: unread[c] != NONE -> takeOrder(c) :: else fi }
-    /* Whoever stands for election runs, so it has read what had come before; one that is deposed may not know it yet. */
+    :: atomic { select(c : 0 .. (COORDINATORS - 1)); if :: unread[c] != NONE -> handleOrder(c) :: else fi }
+    /* A candidate is running, so it has read the orders it received before. A deposed leader may not know of the new term yet. */
     :: atomic {
         select(c : 0 .. (COORDINATORS - 1));
         if
--- a/Tests/Models/readindex.pml
+++ b/Tests/Models/readindex.pml
@@ -1,16 +1,17 @@
 /*
- * Reads that a follower confirms (docs/REPLICATED-LOG.md, C1 to C5): three
- * voters and a learner that asks the leader for its commit index. The log is a
- * count of entries, each of which exists from the moment that a quorum has it.
- * Messages may be lost, doubled and late; the learner may crash and start anew.
+ * Models reads that are confirmed by a read index request (docs/REPLICATED-LOG.md,
+ * C1 to C5), with three voters and a learner that requests the leader's commit
+ * index. The log is a number of entries, each of which exists from the moment that
+ * a quorum has it. Messages may be lost, duplicated or delayed; the learner may
+ * crash and restart.
  *
- * Checked: what the learner has applied when it confirms a read holds all that
- * was committed when the read came.
+ * Checked: when the learner confirms a read, it has applied everything that was
+ * committed when the read arrived.
  *
- * MUTANT 1: the leader answers without a round of its quorum (C2).
- * MUTANT 2: questions are counted from the beginning in each life (C5).
- * MUTANT 3: the learner does not wait until it has applied so far (C4).
- * MUTANT 4: the leader answers before an entry of its own term is committed (C2).
+ * MUTANT 1: the leader replies without a round of messages to its quorum (C2).
+ * MUTANT 2: requests are numbered from the beginning in each incarnation (C5).
+ * MUTANT 3: the learner does not wait until it has applied the index (C4).
+ * MUTANT 4: the leader replies before an entry of its own term is committed (C2).
  */
 #ifndef MUTANT
 #define MUTANT 0
@@ -19,33 +20,33 @@
 #define LEARNER 3
 #define TERMS 2
 #define LENGTH 2
-#define QUESTIONS 2
+#define READS 2
 
 byte term[4];
 byte length[4];
 byte applied[4];
 bool leads[VOTERS];
-bool opened[VOTERS];   /* an entry of its own term is committed */
+bool committedOwnTerm[VOTERS];  /* the leader has committed an entry of its own term */
 byte committed;
 
-byte number;           /* of the learner's last question */
-bool waits;
-byte committedThen;    /* what was committed when the read came */
+byte number;                    /* of the learner's latest request */
+bool waiting;
+byte committedAtRead;           /* number of committed entries when the read arrived */
 bool hasIndex;
 byte index;
 
-bool asked;            /* the question is on its way */
-byte askedNumber;
-byte askedTerm;
-bool taken;            /* and at a leader */
-byte taker;
-byte takenNumber;
-bool answered;         /* the answer is on its way, and may arrive again */
-byte answerNumber;
-byte answerTerm;
-byte answerIndex;
+bool requestInFlight;           /* a request is in flight */
+byte requestNumber;
+byte requestTerm;
+bool received;                  /* a leader has received it */
+byte receiver;
+byte receivedNumber;
+bool replyInFlight;             /* a reply is in flight, and may arrive more than once */
+byte replyNumber;
+byte replyTerm;
+byte replyIndex;
 
-/* Two voters are a quorum, so whoever has the longer log of the two has all that is committed. */
+/* Two voters are a quorum, so the one with the longer log of the two has all committed entries. */
 inline elect(c, v, t) {
     if
     :: term[c] < t && term[v] < t && length[c] >= length[v] ->
@@ -53,7 +54,7 @@
         term[v] = t;
         leads[v] = false;
         leads[c] = true;
-        opened[c] = false
+        committedOwnTerm[c] = false
     :: else
     fi
 }
@@ -65,7 +66,7 @@
         length[l] = committed;
         length[v] = committed;
         applied[l] = committed;
-        opened[l] = true
+        committedOwnTerm[l] = true
     :: else
     fi
 }
@@ -92,31 +93,31 @@
         :: a != b -> commit(a, b)
         :: a != b -> append(a, b)
         :: append(a, LEARNER)
-        :: !waits && number < QUESTIONS ->
+        :: !waiting && number < READS ->
             number++;
-            waits = true;
+            waiting = true;
             hasIndex = false;
-            committedThen = committed;
-            asked = true;
-            askedNumber = number;
-            askedTerm = term[LEARNER]
-        :: asked && leads[a] && term[a] == askedTerm ->
-            taken = true;
-            taker = a;
-            takenNumber = askedNumber
-        :: taken && leads[taker] && b != taker && (term[b] == term[taker] || MUTANT == 1) && (opened[taker] || MUTANT == 4) ->
-            answered = true;
-            answerNumber = takenNumber;
-            answerTerm = term[taker];
-            answerIndex = applied[taker];
-            taken = false
-        :: answered && waits && answerNumber == number && answerTerm == term[LEARNER] ->
+            committedAtRead = committed;
+            requestInFlight = true;
+            requestNumber = number;
+            requestTerm = term[LEARNER]
+        :: requestInFlight && leads[a] && term[a] == requestTerm ->
+            received = true;
+            receiver = a;
+            receivedNumber = requestNumber
+        :: received && leads[receiver] && b != receiver && (term[b] == term[receiver] || MUTANT == 1) && (committedOwnTerm[receiver] || MUTANT == 4) ->
+            replyInFlight = true;
+            replyNumber = receivedNumber;
+            replyTerm = term[receiver];
+            replyIndex = applied[receiver];
+            received = false
+        :: replyInFlight && waiting && replyNumber == number && replyTerm == term[LEARNER] ->
             hasIndex = true;
-            index = answerIndex
-        :: waits && hasIndex && (applied[LEARNER] >= index || MUTANT == 3) ->
-            assert(applied[LEARNER] >= committedThen);
-            waits = false
-        :: waits = false; hasIndex = false; if :: MUTANT == 2 -> number = 0 :: else fi
+            index = replyIndex
+        :: waiting && hasIndex && (applied[LEARNER] >= index || MUTANT == 3) ->
+            assert(applied[LEARNER] >= committedAtRead);
+            waiting = false
+        :: waiting = false; hasIndex = false; if :: MUTANT == 2 -> number = 0 :: else fi
         fi;
         a = 0; b = 0; t = 0
     }
