--- a/Tests/Support/DuplicatingBackend.h
+++ b/Tests/Support/DuplicatingBackend.h
@@ -103,7 +103,7 @@
     while (!this->input.empty()) {
         const auto consumed = this->parser.feed(this->input);
         this->input.erase(0, consumed);
-        if (this->parser.state() != Wire::ParseState::Whole) {
+        if (this->parser.state() != Wire::ParseState::Complete) {
             break;
         }
         for (const auto &duplicate : std::exchange(this->duplicates, {})) {
@@ -113,7 +113,8 @@
         const auto self = std::find_if(connections.begin(), connections.end(), [this](const auto &connection) {
             return connection.get() == this;
         });
-        this->backend.runs.push_back({.number = static_cast<int>(this->backend.runs.size()) + 1, .request = this->parser.takeRequest(), .connection = *self});
+        this->backend.runs.push_back(
+            {.number = static_cast<int>(this->backend.runs.size()) + 1, .request = this->parser.extractRequest(), .connection = *self});
         this->parser.reset({});
         this->backend.onRun(this->backend.runs.back());
     }
