--- a/Libraries/LibCoordinator/CoordinatorNode.cpp
+++ b/Libraries/LibCoordinator/CoordinatorNode.cpp
@@ -484,15 +484,15 @@
     Metrics::MetricsPage page;
     const auto *replicated = this->log->log();
     page.gauge("crankrudder_folder_usable", "Whether the data folder can be used.", replicated != nullptr ? 1 : 0);
-    page.gauge("crankrudder_leader", "Whether this coordinator is the leader.", this->log->isLeader() ? 1 : 0);
-    page.gauge("crankrudder_has_leader", "Whether this coordinator has a known leader.", replicated != nullptr && replicated->leader() != nullptr ? 1 : 0);
+    page.gauge("crankrudder_leader", "Whether this coordinator leads.", this->log->isLeader() ? 1 : 0);
+    page.gauge("crankrudder_has_leader", "Whether this coordinator hears from a leader.", replicated != nullptr && replicated->leader() != nullptr ? 1 : 0);
     page.gauge("crankrudder_declaration_version", "Version of the newest committed declaration.", static_cast<double>(this->log->version()));
     page.gauge("crankrudder_evacuated_zones", "Availability zones that are evacuated.", static_cast<double>(this->log->evacuations().zones.size()));
-    page.gauge("crankrudder_backends_ready", "Backend servers that are ready.", this->registry.readyCount());
+    page.gauge("crankrudder_backends_ready", "Backend servers that take work.", this->registry.readyCount());
     page.gauge("crankrudder_gateways", "Gateways that are ready.", this->gateways.readyCount());
-    page.gauge("crankrudder_watchers", "Watch requests that are held until there is an update.", static_cast<double>(this->watchService->waitingCount()));
+    page.gauge("crankrudder_watchers", "Questions that are held for news.", static_cast<double>(this->watchService->waitingCount()));
     page.gauge("crankrudder_coordinators_in_reach", "Other coordinators that are reachable.", static_cast<double>(this->peers->reachableCount()));
-    page.counter("crankrudder_disk_syncs_total", "Syncs of the write-ahead log to disk.", static_cast<double>(this->log->syncCount()));
+    page.counter("crankrudder_disk_syncs_total", "Writes that were made last.", static_cast<double>(this->log->syncCount()));
     if (replicated != nullptr) {
         page.gauge("crankrudder_log_term", "Election term.", static_cast<double>(replicated->term()));
         page.gauge("crankrudder_log_commit_index", "Last committed entry.", static_cast<double>(replicated->commitIndex()));
--- a/Tests/Support/EntryFixture.h
+++ b/Tests/Support/EntryFixture.h
@@ -66,7 +66,7 @@
         configuration.classes = {urgencyClass};
         configuration.services = {declaration};
         reply.__set_configuration(configuration);
-        static_cast<void>(this->state.configuration.take(reply, this->time.now()));
+        static_cast<void>(this->state.configuration.apply(reply, this->time.now()));
     }
 
     /** Makes an announcement of one replica with the next sequence number; it is not delivered yet. */
--- a/Utilities/crankmeasure/Slopes.cpp
+++ b/Utilities/crankmeasure/Slopes.cpp
@@ -167,7 +167,7 @@
     reply.revision = 1;
     reply.leaseMilliseconds = 600'000;
     reply.__set_configuration(fixture.state.configuration.configuration());
-    static_cast<void>(state.configuration.take(reply, fixture.time.now()));
+    static_cast<void>(state.configuration.apply(reply, fixture.time.now()));
     for (const auto &backend : fixture.state.backends.rows()) {
         state.backends.announce(backend.announcement, Core::Duration(0), fixture.time.now());
     }
