--- a/Libraries/LibGateway/BackendHealth.cpp
+++ b/Libraries/LibGateway/BackendHealth.cpp
@@ -40,8 +40,8 @@
 }
 
 // A reported slowdown takes precedence over latencies: one reply is enough to know it, where latencies need three or more samples, and it is not affected by a
-// pause of the server or by queueing. Where servers report it, the score of a day rises by 0.014 +- 0.002 (six pairs of days, all better); the maximum of
-// slowdown and slowness is no better than that (0.009 +- 0.006). It decays like the slowness, so that a backend server that recovered gets requests again.
+// pause of the server or by queueing. Where servers report it, the value of the answers to their callers rises by 0.014 +- 0.002; the maximum of slowdown and
+// slowness is no better than that (0.009 +- 0.006). It decays like the slowness, so that a backend server that recovered gets requests again.
 double BackendHealth::currentSlowdown(Core::Instant now) const
 {
     if (!this->slowdown.has_value()) {
--- a/Libraries/LibGateway/BackendPool.cpp
+++ b/Libraries/LibGateway/BackendPool.cpp
@@ -477,8 +477,8 @@
     // Every answer names the request that it belongs to. An answer without a name belongs to no request, and an answer with a name does not match a request
     // without one.
     const auto answered = this->dialect.readReplyKey(response);
-    const bool unnamedRefusal = answered.value().empty() && this->dialect.isRefusalWithoutKey && this->dialect.isRefusalWithoutKey(response);
-    if (answered == expected || unnamedRefusal) {
+    const bool refusalWithoutKey = answered.value().empty() && this->dialect.isRefusalWithoutKey && this->dialect.isRefusalWithoutKey(response);
+    if (answered == expected || refusalWithoutKey) {
         return true;
     }
     ++this->counts.discarded;
--- a/Libraries/LibGateway/RequestSettings.cpp
+++ b/Libraries/LibGateway/RequestSettings.cpp
@@ -10,7 +10,7 @@
 namespace Gateway
 {
 
-// Share of a core on which the minimum reserve was measured.
+// Share of a core for which the minimum reserve is set: the setting includes the work at this share, and only smaller shares add to it.
 static constexpr double MeasuredShare = 0.25;
 // Smaller shares are treated as this one, so that a wrong setting does not give an unusable reserve.
 static constexpr double MinimumShare = 0.05;
--- a/Libraries/LibGateway/RequestSettings.h
+++ b/Libraries/LibGateway/RequestSettings.h
@@ -50,8 +50,8 @@
 };
 
 /**
- * Returns the minimum reserve for a gateway that runs on `processorShare` of a core: the same work takes longer on a smaller share. The setting itself was
- * measured on a quarter of a core, so it already includes the work at that share.
+ * Returns the minimum reserve for a gateway that runs on `processorShare` of a core: the same work takes longer on a smaller share. The setting
+ * includes the work at a quarter of a core, so only a smaller share adds to it.
  */
 [[nodiscard]] Core::Duration minimumReturnReserveFor(const RequestSettings &settings, double processorShare);
 
--- a/Services/coordinatord/main.cpp
+++ b/Services/coordinatord/main.cpp
@@ -101,7 +101,8 @@
         return tl::make_unexpected(settings.error());
     }
     if (!settings->controlListen.has_value() || settings->dataFolder.empty()) {
-        return Core::failure(Core::ErrorKind::InvalidInput, "coordinatord requires the settings listen_addrs.control and data_dir");
+        return Core::failure(
+            Core::ErrorKind::InvalidInput, "the settings file of coordinatord names no address for operators and backend servers or no data folder");
     }
     Core::Daemon daemon("coordinatord");
     auto &timers = daemon.timers();
--- a/Services/gatewayd/main.cpp
+++ b/Services/gatewayd/main.cpp
@@ -109,7 +109,7 @@
         return tl::make_unexpected(settings.error());
     }
     if (!settings->callerListen.has_value() || !settings->readinessListen.has_value()) {
-        return Core::failure(Core::ErrorKind::InvalidInput, "gatewayd requires the settings listen_addrs.frontend and listen_addrs.readiness");
+        return Core::failure(Core::ErrorKind::InvalidInput, "the settings file of gatewayd names no address for callers or none for readiness checks");
     }
     Core::Daemon daemon("gatewayd");
     auto &timers = daemon.timers();
--- a/Tests/LibConsensus/TestElectionAfterStart.cpp
+++ b/Tests/LibConsensus/TestElectionAfterStart.cpp
@@ -7,8 +7,7 @@
 // one of them is the leader.
 //
 // Guards against split votes: with random timeouts, in one of several starts the members started an election within the same tick, split their
-// votes, and waited for the usual election timeout. Every caller was refused for 1.4 s (heat network search, the standard day trouble-3 of
-// the users' bench).
+// votes, and waited for the usual election timeout. Every caller was refused for 1.4 s (heat network search).
 
 #include <Support/FakeControlCluster.h>
 
--- a/Tests/LibGateway/TestCellMap.cpp
+++ b/Tests/LibGateway/TestCellMap.cpp
@@ -7,8 +7,8 @@
 // search over 180 shards every six seconds. When one gateway sent to all shards, 90
 // requests and replies kept it busy for half of an urgent search's 100 ms, and each
 // fourth send opened a connection, since the previous one had been closed as idle. With
-// owners of cells, urgent searches of the print bureau's 300 gateways earned 0.91 instead
-// of 0.73 of their credit, and new connections fell to a third.
+// owners of cells, the answers to urgent searches of the print bureau's 300 gateways had
+// 0.91 instead of 0.73 of their full value to callers, and new connections fell to a third.
 
 #include <LibGateway/CellMap.h>
 
--- a/Tests/LibGateway/TestConnectionAllowance.cpp
+++ b/Tests/LibGateway/TestConnectionAllowance.cpp
@@ -4,9 +4,9 @@
  */
 
 // Scenario: every gateway loses power and opens its connections again while backend
-// servers still count the old ones. In one such run, with servers that have a cap of 28
-// (scale-2 of the heat network's search), the servers reset 3,667 connections in the
-// following six seconds, and each reset cost a search one of its shards.
+// servers still count the old ones. In one such case, with servers that have a cap of 28
+// (the heat network's search), the servers reset 3,667 connections in the following six
+// seconds, and each reset cost a search one of its shards.
 
 #include <LibGateway/ConnectionAllowance.h>
 
@@ -113,8 +113,8 @@
 }
 
 // Scenario: 89 gateways with less than one search per second each, which open a connection for one send in a few (the charging deployment, grown). A trial of
-// each connection takes a round trip of up to 24 ms, against targets of 80 and 120 ms, and lowered the score of a day without faults by 0.038 (0.639 without
-// trials, 0.601 with them).
+// each connection takes a round trip of up to 24 ms, against targets of 80 and 120 ms, and without any fault lowered the value of the answers to their
+// callers by 0.038 (0.639 without trials, 0.601 with them).
 Test(ConnectionAllowance, connectionsAreTriedOutOnlyAfterStartsAndResets)
 {
     const Gateway::TrialOptions options;
--- a/Tests/LibGateway/TestPureParts.cpp
+++ b/Tests/LibGateway/TestPureParts.cpp
@@ -71,7 +71,7 @@
     cr_assert_not(Gateway::unpackSignatures(spoilt).has_value());
 }
 
-Test(RequestSettings, returnFloorGrowsOnASmallerShareOfACore)
+Test(RequestSettings, minimumReturnReserveGrowsOnASmallerShareOfACore)
 {
     const Gateway::RequestSettings settings{.minimumReturnReserve = Core::milliseconds(16), .returnProcessorTime = Core::milliseconds(1)};
     cr_assert(Gateway::minimumReturnReserveFor(settings, 1.0) == settings.minimumReturnReserve);
--- a/Tests/LibGateway/TestRequests.cpp
+++ b/Tests/LibGateway/TestRequests.cpp
@@ -856,7 +856,7 @@
     cr_assert_eq(atOwner.direct.size(), Shards);
 }
 
-Test(BackendPool, firstSoundReturnsFirstEligibleOfNames)
+Test(BackendPool, firstHealthyReturnsFirstEligibleOfNames)
 {
     GatewayFixture fixture;
     const auto silent = [](const Wire::Request &, const Wire::ExchangePointer &) {
