--- a/Libraries/LibProtocol/Generated/ControlPeer.h
+++ b/Libraries/LibProtocol/Generated/ControlPeer.h
@@ -30,7 +30,7 @@
   virtual ~ControlPeerIf() {}
 
   /**
-   * Messages may be lost, doubled or reordered; the reply only acknowledges receipt.
+   * Messages may be lost, duplicated or reordered. The reply only acknowledges receipt.
    * 
    * @param messages
    */
@@ -182,7 +182,7 @@
     return poprot_;
   }
   /**
-   * Messages may be lost, doubled or reordered; the reply only acknowledges receipt.
+   * Messages may be lost, duplicated or reordered. The reply only acknowledges receipt.
    * 
    * @param messages
    */
@@ -238,7 +238,7 @@
   }
  public:
   /**
-   * Messages may be lost, doubled or reordered; the reply only acknowledges receipt.
+   * Messages may be lost, duplicated or reordered. The reply only acknowledges receipt.
    * 
    * @param messages
    */
@@ -284,7 +284,7 @@
     return poprot_;
   }
   /**
-   * Messages may be lost, doubled or reordered; the reply only acknowledges receipt.
+   * Messages may be lost, duplicated or reordered. The reply only acknowledges receipt.
    * 
    * @param messages
    */
@@ -306,7 +306,7 @@
   virtual ~ControlPeerCobClIf() {}
 
   /**
-   * Messages may be lost, doubled or reordered; the reply only acknowledges receipt.
+   * Messages may be lost, duplicated or reordered. The reply only acknowledges receipt.
    * 
    * @param messages
    */
@@ -318,7 +318,7 @@
   virtual ~ControlPeerCobSvIf() {}
 
   /**
-   * Messages may be lost, doubled or reordered; the reply only acknowledges receipt.
+   * Messages may be lost, duplicated or reordered. The reply only acknowledges receipt.
    * 
    * @param messages
    */
@@ -373,7 +373,7 @@
   }
   virtual void completed__(bool /* success */) {}
   /**
-   * Messages may be lost, doubled or reordered; the reply only acknowledges receipt.
+   * Messages may be lost, duplicated or reordered. The reply only acknowledges receipt.
    * 
    * @param messages
    */
--- a/Libraries/LibProtocol/Generated/Coordinator.h
+++ b/Libraries/LibProtocol/Generated/Coordinator.h
@@ -30,14 +30,14 @@
   virtual ~CoordinatorIf() {}
 
   /**
-   * Answers when there is news, at the latest after a second or so.
+   * Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second.
    * 
    * @param request
    */
   virtual void watch(WatchReply& _return, const WatchRequest& request) = 0;
 
   /**
-   * Tells who is there, and asks the leader to take the asker in.
+   * Returns the known members, and asks the leader to add the sender as a member.
    * 
    * @param introduction
    */
@@ -315,7 +315,7 @@
     return poprot_;
   }
   /**
-   * Answers when there is news, at the latest after a second or so.
+   * Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second.
    * 
    * @param request
    */
@@ -323,7 +323,7 @@
   void send_watch(const WatchRequest& request);
   void recv_watch(WatchReply& _return);
   /**
-   * Tells who is there, and asks the leader to take the asker in.
+   * Returns the known members, and asks the leader to add the sender as a member.
    * 
    * @param introduction
    */
@@ -381,7 +381,7 @@
   }
  public:
   /**
-   * Answers when there is news, at the latest after a second or so.
+   * Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second.
    * 
    * @param request
    */
@@ -396,7 +396,7 @@
   }
 
   /**
-   * Tells who is there, and asks the leader to take the asker in.
+   * Returns the known members, and asks the leader to add the sender as a member.
    * 
    * @param introduction
    */
@@ -443,7 +443,7 @@
     return poprot_;
   }
   /**
-   * Answers when there is news, at the latest after a second or so.
+   * Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second.
    * 
    * @param request
    */
@@ -451,7 +451,7 @@
   int32_t send_watch(const WatchRequest& request);
   void recv_watch(WatchReply& _return, const int32_t seqid);
   /**
-   * Tells who is there, and asks the leader to take the asker in.
+   * Returns the known members, and asks the leader to add the sender as a member.
    * 
    * @param introduction
    */
@@ -473,14 +473,14 @@
   virtual ~CoordinatorCobClIf() {}
 
   /**
-   * Answers when there is news, at the latest after a second or so.
+   * Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second.
    * 
    * @param request
    */
   virtual void watch(::std::function<void(CoordinatorCobClient* client)> cob, const WatchRequest& request) = 0;
 
   /**
-   * Tells who is there, and asks the leader to take the asker in.
+   * Returns the known members, and asks the leader to add the sender as a member.
    * 
    * @param introduction
    */
@@ -492,14 +492,14 @@
   virtual ~CoordinatorCobSvIf() {}
 
   /**
-   * Answers when there is news, at the latest after a second or so.
+   * Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second.
    * 
    * @param request
    */
   virtual void watch(::std::function<void(WatchReply const& _return)> cob, const WatchRequest& request) = 0;
 
   /**
-   * Tells who is there, and asks the leader to take the asker in.
+   * Returns the known members, and asks the leader to add the sender as a member.
    * 
    * @param introduction
    */
@@ -559,7 +559,7 @@
   }
   virtual void completed__(bool /* success */) {}
   /**
-   * Answers when there is news, at the latest after a second or so.
+   * Long poll: replies when there is an update, at the latest after the long-poll timeout of about a second.
    * 
    * @param request
    */
@@ -567,7 +567,7 @@
   void send_watch(const WatchRequest& request);
   void recv_watch(WatchReply& _return);
   /**
-   * Tells who is there, and asks the leader to take the asker in.
+   * Returns the known members, and asks the leader to add the sender as a member.
    * 
    * @param introduction
    */
--- a/Libraries/LibProtocol/Generated/Operator.h
+++ b/Libraries/LibProtocol/Generated/Operator.h
@@ -31,7 +31,7 @@
   virtual void apply(ApplyOutcome& _return, const ApplyRequest& request) = 0;
 
   /**
-   * Revision 0 asks for the current one.
+   * Revision 0 requests the current revision.
    * 
    * @param revision
    */
@@ -40,7 +40,7 @@
   virtual void status(ControlStatus& _return) = 0;
 
   /**
-   * Sent once to every founding member, with the same list, before anything else.
+   * Sent once to each initial member, with the same list, before any other request.
    * 
    * @param membership
    */
@@ -48,12 +48,12 @@
   virtual void changeMember(MemberOutcome& _return, const MemberChange& change) = 0;
 
   /**
-   * The whole state of this process, as a JSON document.
+   * Returns the whole state of this process as a JSON document.
    */
   virtual void dump(std::string& _return) = 0;
 
   /**
-   * A planned stop of this process: hands leadership over, finishes what waits, exits.
+   * Stops this process in a planned way: transfers leadership, finishes waiting requests and exits.
    */
   virtual void drain() = 0;
 };
@@ -929,7 +929,7 @@
   void send_apply(const ApplyRequest& request);
   void recv_apply(ApplyOutcome& _return);
   /**
-   * Revision 0 asks for the current one.
+   * Revision 0 requests the current revision.
    * 
    * @param revision
    */
@@ -943,7 +943,7 @@
   void send_status();
   void recv_status(ControlStatus& _return);
   /**
-   * Sent once to every founding member, with the same list, before anything else.
+   * Sent once to each initial member, with the same list, before any other request.
    * 
    * @param membership
    */
@@ -954,13 +954,13 @@
   void send_changeMember(const MemberChange& change);
   void recv_changeMember(MemberOutcome& _return);
   /**
-   * The whole state of this process, as a JSON document.
+   * Returns the whole state of this process as a JSON document.
    */
   void dump(std::string& _return) override;
   void send_dump();
   void recv_dump(std::string& _return);
   /**
-   * A planned stop of this process: hands leadership over, finishes what waits, exits.
+   * Stops this process in a planned way: transfers leadership, finishes waiting requests and exits.
    */
   void drain() override;
   void send_drain();
@@ -1038,7 +1038,7 @@
   }
 
   /**
-   * Revision 0 asks for the current one.
+   * Revision 0 requests the current revision.
    * 
    * @param revision
    */
@@ -1073,7 +1073,7 @@
   }
 
   /**
-   * Sent once to every founding member, with the same list, before anything else.
+   * Sent once to each initial member, with the same list, before any other request.
    * 
    * @param membership
    */
@@ -1098,7 +1098,7 @@
   }
 
   /**
-   * The whole state of this process, as a JSON document.
+   * Returns the whole state of this process as a JSON document.
    */
   void dump(std::string& _return) override {
     size_t sz = ifaces_.size();
@@ -1111,7 +1111,7 @@
   }
 
   /**
-   * A planned stop of this process: hands leadership over, finishes what waits, exits.
+   * Stops this process in a planned way: transfers leadership, finishes waiting requests and exits.
    */
   void drain() override {
     size_t sz = ifaces_.size();
@@ -1158,7 +1158,7 @@
   int32_t send_apply(const ApplyRequest& request);
   void recv_apply(ApplyOutcome& _return, const int32_t seqid);
   /**
-   * Revision 0 asks for the current one.
+   * Revision 0 requests the current revision.
    * 
    * @param revision
    */
@@ -1172,7 +1172,7 @@
   int32_t send_status();
   void recv_status(ControlStatus& _return, const int32_t seqid);
   /**
-   * Sent once to every founding member, with the same list, before anything else.
+   * Sent once to each initial member, with the same list, before any other request.
    * 
    * @param membership
    */
@@ -1183,13 +1183,13 @@
   int32_t send_changeMember(const MemberChange& change);
   void recv_changeMember(MemberOutcome& _return, const int32_t seqid);
   /**
-   * The whole state of this process, as a JSON document.
+   * Returns the whole state of this process as a JSON document.
    */
   void dump(std::string& _return) override;
   int32_t send_dump();
   void recv_dump(std::string& _return, const int32_t seqid);
   /**
-   * A planned stop of this process: hands leadership over, finishes what waits, exits.
+   * Stops this process in a planned way: transfers leadership, finishes waiting requests and exits.
    */
   void drain() override;
   int32_t send_drain();
@@ -1210,7 +1210,7 @@
   virtual void apply(::std::function<void(OperatorCobClient* client)> cob, const ApplyRequest& request) = 0;
 
   /**
-   * Revision 0 asks for the current one.
+   * Revision 0 requests the current revision.
    * 
    * @param revision
    */
@@ -1219,7 +1219,7 @@
   virtual void status(::std::function<void(OperatorCobClient* client)> cob) = 0;
 
   /**
-   * Sent once to every founding member, with the same list, before anything else.
+   * Sent once to each initial member, with the same list, before any other request.
    * 
    * @param membership
    */
@@ -1227,12 +1227,12 @@
   virtual void changeMember(::std::function<void(OperatorCobClient* client)> cob, const MemberChange& change) = 0;
 
   /**
-   * The whole state of this process, as a JSON document.
+   * Returns the whole state of this process as a JSON document.
    */
   virtual void dump(::std::function<void(OperatorCobClient* client)> cob) = 0;
 
   /**
-   * A planned stop of this process: hands leadership over, finishes what waits, exits.
+   * Stops this process in a planned way: transfers leadership, finishes waiting requests and exits.
    */
   virtual void drain(::std::function<void(OperatorCobClient* client)> cob) = 0;
 };
@@ -1243,7 +1243,7 @@
   virtual void apply(::std::function<void(ApplyOutcome const& _return)> cob, const ApplyRequest& request) = 0;
 
   /**
-   * Revision 0 asks for the current one.
+   * Revision 0 requests the current revision.
    * 
    * @param revision
    */
@@ -1252,7 +1252,7 @@
   virtual void status(::std::function<void(ControlStatus const& _return)> cob) = 0;
 
   /**
-   * Sent once to every founding member, with the same list, before anything else.
+   * Sent once to each initial member, with the same list, before any other request.
    * 
    * @param membership
    */
@@ -1260,12 +1260,12 @@
   virtual void changeMember(::std::function<void(MemberOutcome const& _return)> cob, const MemberChange& change) = 0;
 
   /**
-   * The whole state of this process, as a JSON document.
+   * Returns the whole state of this process as a JSON document.
    */
   virtual void dump(::std::function<void(std::string const& _return)> cob) = 0;
 
   /**
-   * A planned stop of this process: hands leadership over, finishes what waits, exits.
+   * Stops this process in a planned way: transfers leadership, finishes waiting requests and exits.
    */
   virtual void drain(::std::function<void()> cob) = 0;
 };
@@ -1349,7 +1349,7 @@
   void send_apply(const ApplyRequest& request);
   void recv_apply(ApplyOutcome& _return);
   /**
-   * Revision 0 asks for the current one.
+   * Revision 0 requests the current revision.
    * 
    * @param revision
    */
@@ -1363,7 +1363,7 @@
   void send_status();
   void recv_status(ControlStatus& _return);
   /**
-   * Sent once to every founding member, with the same list, before anything else.
+   * Sent once to each initial member, with the same list, before any other request.
    * 
    * @param membership
    */
@@ -1374,13 +1374,13 @@
   void send_changeMember(const MemberChange& change);
   void recv_changeMember(MemberOutcome& _return);
   /**
-   * The whole state of this process, as a JSON document.
+   * Returns the whole state of this process as a JSON document.
    */
   void dump(::std::function<void(OperatorCobClient* client)> cob) override;
   void send_dump();
   void recv_dump(std::string& _return);
   /**
-   * A planned stop of this process: hands leadership over, finishes what waits, exits.
+   * Stops this process in a planned way: transfers leadership, finishes waiting requests and exits.
    */
   void drain(::std::function<void(OperatorCobClient* client)> cob) override;
   void send_drain();
--- a/Libraries/LibProtocol/Generated/control_types.cpp
+++ b/Libraries/LibProtocol/Generated/control_types.cpp
@@ -15,13 +15,13 @@
 
 int _kClaimStatusValues[] = {
   /**
-   * The caller of this procedure, and nobody else, may send the action.
+   * Only the caller of this procedure may send the action.
    */
   ClaimStatus::GRANTED,
   ClaimStatus::IN_PROGRESS,
   ClaimStatus::COMPLETED,
   /**
-   * An earlier attempt ended without a known outcome. It is not run again.
+   * An earlier attempt ended without a known outcome. The action is not executed again.
    */
   ClaimStatus::OUTCOME_UNKNOWN,
   /**
@@ -34,7 +34,7 @@
   ClaimStatus::KEY_EXPIRED,
   ClaimStatus::NOT_LEADER,
   /**
-   * No quorum answered in time. The claim may or may not hold.
+   * No quorum replied in time. The claim may or may not have been recorded.
    */
   ClaimStatus::UNAVAILABLE,
   /**
@@ -44,13 +44,13 @@
 };
 const char* _kClaimStatusNames[] = {
   /**
-   * The caller of this procedure, and nobody else, may send the action.
+   * Only the caller of this procedure may send the action.
    */
   "GRANTED",
   "IN_PROGRESS",
   "COMPLETED",
   /**
-   * An earlier attempt ended without a known outcome. It is not run again.
+   * An earlier attempt ended without a known outcome. The action is not executed again.
    */
   "OUTCOME_UNKNOWN",
   /**
@@ -63,7 +63,7 @@
   "KEY_EXPIRED",
   "NOT_LEADER",
   /**
-   * No quorum answered in time. The claim may or may not hold.
+   * No quorum replied in time. The claim may or may not have been recorded.
    */
   "UNAVAILABLE",
   /**
@@ -141,15 +141,15 @@
   MessageKind::SNAPSHOT_REQUEST,
   MessageKind::SNAPSHOT_REPLY,
   /**
-   * A leader that stops asks a follower to stand at once.
+   * A leader that stops asks a follower to start an election at once.
    */
   MessageKind::LEADERSHIP_TRANSFER,
   /**
-   * A follower asks from which index on what it has applied is current.
+   * A follower requests the index up to which it must have applied the log for its state to be current.
    */
   MessageKind::READ_INDEX_REQUEST,
   /**
-   * A quorum took the leader for the leader after it was asked; the answer is its commit index.
+   * Carries the leader's commit index, sent after a quorum has confirmed its leadership since the request.
    */
   MessageKind::READ_INDEX_REPLY
 };
@@ -163,15 +163,15 @@
   "SNAPSHOT_REQUEST",
   "SNAPSHOT_REPLY",
   /**
-   * A leader that stops asks a follower to stand at once.
+   * A leader that stops asks a follower to start an election at once.
    */
   "LEADERSHIP_TRANSFER",
   /**
-   * A follower asks from which index on what it has applied is current.
+   * A follower requests the index up to which it must have applied the log for its state to be current.
    */
   "READ_INDEX_REQUEST",
   /**
-   * A quorum took the leader for the leader after it was asked; the answer is its commit index.
+   * Carries the leader's commit index, sent after a quorum has confirmed its leadership since the request.
    */
   "READ_INDEX_REPLY"
 };
--- a/Libraries/LibProtocol/Generated/control_types.h
+++ b/Libraries/LibProtocol/Generated/control_types.h
@@ -25,13 +25,13 @@
 struct ClaimStatus {
   enum type {
     /**
-     * The caller of this procedure, and nobody else, may send the action.
+     * Only the caller of this procedure may send the action.
      */
     GRANTED = 1,
     IN_PROGRESS = 2,
     COMPLETED = 3,
     /**
-     * An earlier attempt ended without a known outcome. It is not run again.
+     * An earlier attempt ended without a known outcome. The action is not executed again.
      */
     OUTCOME_UNKNOWN = 4,
     /**
@@ -44,7 +44,7 @@
     KEY_EXPIRED = 6,
     NOT_LEADER = 7,
     /**
-     * No quorum answered in time. The claim may or may not hold.
+     * No quorum replied in time. The claim may or may not have been recorded.
      */
     UNAVAILABLE = 8,
     /**
@@ -89,15 +89,15 @@
     SNAPSHOT_REQUEST = 7,
     SNAPSHOT_REPLY = 8,
     /**
-     * A leader that stops asks a follower to stand at once.
+     * A leader that stops asks a follower to start an election at once.
      */
     LEADERSHIP_TRANSFER = 9,
     /**
-     * A follower asks from which index on what it has applied is current.
+     * A follower requests the index up to which it must have applied the log for its state to be current.
      */
     READ_INDEX_REQUEST = 10,
     /**
-     * A quorum took the leader for the leader after it was asked; the answer is its commit index.
+     * Carries the leader's commit index, sent after a quorum has confirmed its leadership since the request.
      */
     READ_INDEX_REPLY = 11
   };
@@ -164,11 +164,11 @@
   virtual ~FollowRequest() noexcept;
   std::string entryName;
   /**
-   * Differs at each start of the process.
+   * Identifies one run of the process.
    */
   int64_t incarnation;
   /**
-   * The revision that the entry instance has in force.
+   * The revision that is active at the entry instance.
    */
   int64_t revision;
 
@@ -217,7 +217,7 @@
 } _ConfigurationDelta__isset;
 
 /**
- * What turns one revision's configuration into a later one's.
+ * The difference between the configuration of one revision and that of a later one.
  */
 class ConfigurationDelta : public virtual ::apache::thrift::TBase {
  public:
@@ -307,21 +307,21 @@
 
   virtual ~FollowReply() noexcept;
   /**
-   * When false, nothing below may be used but leaderAddress.
+   * When false, only leaderAddress may be used.
    */
   bool confirmed;
   int64_t revision;
   /**
-   * The whole configuration, when the asker's revision is too far behind for a delta.
+   * The whole configuration; set when the requester's revision is too old for a delta.
    */
    ::Protocol::Configuration configuration;
   /**
-   * The way from the asker's revision. Neither is there when the asker is up to date.
+   * The delta from the requester's revision. Neither this nor configuration is set when the requester is up to date.
    */
   ConfigurationDelta delta;
   std::string leaderAddress;
   /**
-   * How long, from the sending of the request, the revision may be relied on.
+   * Time, counted from the sending of the request, during which the revision may be relied on.
    */
   int32_t leaseMilliseconds;
 
@@ -465,7 +465,7 @@
   std::string requestDigest;
   std::string entryName;
   /**
-   * After this long without an outcome, the outcome counts as unknown.
+   * Once this time has passed without an outcome, the outcome counts as unknown.
    */
   int32_t executionLimitMilliseconds;
   /**
@@ -598,7 +598,7 @@
   std::string key;
   std::string attemptId;
   /**
-   * Absent: the action provably did not run and the claim is released.
+   * When absent, the action was provably not executed, and the claim is released.
    */
   ActionOutcome outcome;
 
@@ -719,7 +719,7 @@
    */
   std::string command;
   /**
-   * When set, the members from this entry on.
+   * When set, the members of the log from this entry on.
    */
    ::Protocol::Membership membership;
 
@@ -821,7 +821,7 @@
   std::string sender;
   int64_t term;
   /**
-   * Requests: the entry before the first one carried, or the last one held.
+   * Requests: the index before the first entry in the message, or the sender's last index.
    */
   int64_t previousIndex;
   int64_t previousTerm;
@@ -836,7 +836,7 @@
    */
   int64_t matchIndex;
   /**
-   * Counts the leader's rounds, so that a reply proves leadership at that round. Of read indexes: counts the asker's questions.
+   * Number of the leader's round, so that a reply proves leadership at that round. In read index messages: number of the follower's request.
    */
   int64_t round;
   /**
@@ -846,7 +846,7 @@
   int64_t pieceOffset;
   bool lastPiece;
   /**
-   * Identifies the sender's data folder; one that was lost does not get its old vote back.
+   * Identifies the sender's data folder. A member that lost its folder gets a new id, so it does not get its old vote back.
    */
   std::string storageId;
   /**
@@ -862,7 +862,7 @@
    */
   std::string senderAddress;
   /**
-   * Vote requests: the leader itself asked for this election.
+   * Vote requests: the leader itself requested this election.
    */
   bool transfer;
 
@@ -1045,7 +1045,7 @@
 } _Command__isset;
 
 /**
- * What the replicated log carries. Exactly one of the optional fields is set.
+ * A command in the replicated log. Exactly one of the optional fields is set.
  */
 class Command : public virtual ::apache::thrift::TBase {
  public:
@@ -1058,7 +1058,7 @@
 
   virtual ~Command() noexcept;
   /**
-   * The leader's wall clock, made never to go back within the log.
+   * The leader's wall clock, adjusted so that it never decreases within the log.
    */
   int64_t timeMilliseconds;
   ConfigurationChange change;
@@ -1135,7 +1135,7 @@
   int64_t acceptedAtMilliseconds;
   std::vector<std::string>  differences;
   /**
-   * Old changes keep their line in the history, but not their content.
+   * False for old changes, which stay in the history without their content.
    */
   bool contentKept;
 
@@ -1344,7 +1344,7 @@
   virtual ~StorageRecord() noexcept;
   LogEntry entry;
   /**
-   * All entries from this index on are void.
+   * All entries from this index on are invalid.
    */
   int64_t truncateFrom;
   int64_t term;
--- a/Libraries/LibProtocol/Generated/entry_types.h
+++ b/Libraries/LibProtocol/Generated/entry_types.h
@@ -72,7 +72,7 @@
   virtual ~SnapshotHolding() noexcept;
   int64_t version;
   /**
-   * Names the partitioning: equal digests mean equal shard boundaries.
+   * Digest of the partitioning: equal digests mean equal shard boundaries.
    */
   std::string shardMap;
   int32_t shardCount;
@@ -155,11 +155,11 @@
   std::string serviceName;
   std::string replicaName;
   /**
-   * Grows at each start of the backend server.
+   * Increases at each start of the backend server.
    */
   int64_t incarnation;
   /**
-   * Grows at each announcement within one incarnation.
+   * Increases with each announcement within one incarnation.
    */
   int64_t sequence;
   std::string address;
@@ -255,7 +255,7 @@
 } _RelayedAnnouncement__isset;
 
 /**
- * An announcement with its age, since clocks of two instances are not compared.
+ * An announcement with its age. It carries no time, because the clocks of two instances are not compared.
  */
 class RelayedAnnouncement : public virtual ::apache::thrift::TBase {
  public:
@@ -321,7 +321,7 @@
   std::string entryName;
   std::vector<RelayedAnnouncement>  announcements;
   /**
-   * Asks for the receiver's whole table, as a fresh process does.
+   * Requests the receiver's whole table; set by a process that has just started.
    */
   bool wantsAll;
 
@@ -377,7 +377,7 @@
   virtual ~RelayReply() noexcept;
   std::vector<RelayedAnnouncement>  announcements;
   /**
-   * The list is the whole table of an instance that has been in touch for a lease at least.
+   * The list is the whole table of an instance that has been in contact for at least one lease.
    */
   bool complete;
 
--- a/Libraries/LibProtocol/Generated/fleet_types.cpp
+++ b/Libraries/LibProtocol/Generated/fleet_types.cpp
@@ -15,31 +15,31 @@
 
 int _kBackendPhaseValues[] = {
   /**
-   * Made no heartbeat for long; takes no new work until it does.
+   * No heartbeat was received within the heartbeat timeout. Gets no new work until the next heartbeat.
    */
   BackendPhase::SILENT,
   BackendPhase::READY,
   /**
-   * Takes no new work.
+   * Finishes its work and takes no new work.
    */
   BackendPhase::DRAINING,
   /**
-   * Has said that it ends, or was found gone.
+   * Has deregistered, or was found to have ended.
    */
   BackendPhase::GONE
 };
 const char* _kBackendPhaseNames[] = {
   /**
-   * Made no heartbeat for long; takes no new work until it does.
+   * No heartbeat was received within the heartbeat timeout. Gets no new work until the next heartbeat.
    */
   "SILENT",
   "READY",
   /**
-   * Takes no new work.
+   * Finishes its work and takes no new work.
    */
   "DRAINING",
   /**
-   * Has said that it ends, or was found gone.
+   * Has deregistered, or was found to have ended.
    */
   "GONE"
 };
@@ -66,22 +66,22 @@
 
 int _kRegistryInterestValues[] = {
   /**
-   * It only waits for a confirmation.
+   * No changes: the watcher only waits for a confirmation.
    */
   RegistryInterest::NOTHING,
   /**
-   * Of those that leave: another coordinator tells it everything, and this one is there so that no leaver is missed.
+   * Departures only: another coordinator sends the watcher all changes, and this one makes sure that no departure is missed.
    */
   RegistryInterest::LEAVERS,
   RegistryInterest::EVERYTHING
 };
 const char* _kRegistryInterestNames[] = {
   /**
-   * It only waits for a confirmation.
+   * No changes: the watcher only waits for a confirmation.
    */
   "NOTHING",
   /**
-   * Of those that leave: another coordinator tells it everything, and this one is there so that no leaver is missed.
+   * Departures only: another coordinator sends the watcher all changes, and this one makes sure that no departure is missed.
    */
   "LEAVERS",
   "EVERYTHING"
--- a/Libraries/LibProtocol/Generated/fleet_types.h
+++ b/Libraries/LibProtocol/Generated/fleet_types.h
@@ -23,21 +23,21 @@
 namespace Protocol {
 
 /**
- * Phases only ever go forward within one life of a backend server, but for silence, which a later heartbeat ends.
+ * Within one incarnation of a backend server its phase only moves forward, except for SILENT, which the next heartbeat ends.
  */
 struct BackendPhase {
   enum type {
     /**
-     * Made no heartbeat for long; takes no new work until it does.
+     * No heartbeat was received within the heartbeat timeout. Gets no new work until the next heartbeat.
      */
     SILENT = 0,
     READY = 1,
     /**
-     * Takes no new work.
+     * Finishes its work and takes no new work.
      */
     DRAINING = 2,
     /**
-     * Has said that it ends, or was found gone.
+     * Has deregistered, or was found to have ended.
      */
     GONE = 3
   };
@@ -50,16 +50,16 @@
 std::string to_string(const BackendPhase::type& val);
 
 /**
- * Which changes of backend servers and gateways a watcher wants from one coordinator.
+ * Which changes of backend servers and gateways a watcher requests from one coordinator.
  */
 struct RegistryInterest {
   enum type {
     /**
-     * It only waits for a confirmation.
+     * No changes: the watcher only waits for a confirmation.
      */
     NOTHING = 0,
     /**
-     * Of those that leave: another coordinator tells it everything, and this one is there so that no leaver is missed.
+     * Departures only: another coordinator sends the watcher all changes, and this one makes sure that no departure is missed.
      */
     LEAVERS = 1,
     EVERYTHING = 2
@@ -114,7 +114,7 @@
 } _BackendAnnouncement__isset;
 
 /**
- * What a backend server said of itself in its latest heartbeat.
+ * The contents of a backend server's latest heartbeat.
  */
 class BackendAnnouncement : public virtual ::apache::thrift::TBase {
  public:
@@ -135,7 +135,7 @@
 
   virtual ~BackendAnnouncement() noexcept;
   /**
-   * Names a backend server. One that starts again may keep it.
+   * Identifies a backend server. A restarted server may keep its id.
    */
   std::string id;
   std::string serviceName;
@@ -151,15 +151,15 @@
    */
   BackendPhase::type phase;
   /**
-   * How long it still runs slowly after its start, from when this is sent.
+   * Time until the server's warm-up ends, in milliseconds from the sending of this message.
    */
   int32_t warmupLeftMs;
   /**
-   * Grows with each heartbeat of one life.
+   * Increases with each heartbeat of one incarnation.
    */
   int64_t sequence;
   /**
-   * Unix milliseconds of its start, which tell its lives apart; 0 on platforms that do not say it.
+   * Start time in Unix milliseconds, which identifies the incarnation; 0 on platforms that do not send it.
    */
   int64_t born;
 
@@ -229,7 +229,7 @@
 } _TextPiece__isset;
 
 /**
- * Bytes of their own, then a part of the earlier text.
+ * A piece of the later text: literal bytes, then a range copied from the earlier text.
  */
 class TextPiece : public virtual ::apache::thrift::TBase {
  public:
@@ -289,7 +289,7 @@
 } _TextDelta__isset;
 
 /**
- * What turns one text into a later one.
+ * A delta that converts one text into a later one.
  */
 class TextDelta : public virtual ::apache::thrift::TBase {
  public:
@@ -303,7 +303,7 @@
 
   virtual ~TextDelta() noexcept;
   /**
-   * Of the later text, to know that the outcome is right.
+   * Length and checksum of the later text, to verify the result.
    */
   int64_t length;
   int64_t checksum;
@@ -350,7 +350,7 @@
 } _Evacuations__isset;
 
 /**
- * The availability zones whose backend servers get nothing, by operators' orders.
+ * The availability zones whose backend servers get no requests, by operators' orders.
  */
 class Evacuations : public virtual ::apache::thrift::TBase {
  public:
@@ -363,7 +363,7 @@
 
   virtual ~Evacuations() noexcept;
   /**
-   * Grows with each change; 0 before the first one.
+   * Increases with each change; 0 before the first one.
    */
   int64_t revision;
   std::vector<std::string>  zones;
@@ -434,35 +434,35 @@
   virtual ~WatchRequest() noexcept;
   std::string watcherName;
   /**
-   * Which life of the coordinator the cursors belong to; 0 at first.
+   * The incarnation of the coordinator that the cursors belong to; 0 in the first request.
    */
   int64_t coordinatorIncarnation;
   /**
-   * Changes of backend servers up to here are known.
+   * The watcher knows the changes of backend servers up to this position.
    */
   int64_t cursor;
   /**
-   * Changes of gateways up to here are known.
+   * The watcher knows the changes of gateways up to this position.
    */
   int64_t gatewayCursor;
   /**
-   * The newest declaration that the watcher holds or has heard of; -1 for none.
+   * The newest version of the declaration that the watcher holds or knows to exist; -1 for none.
    */
   int64_t declarationVersion;
   /**
-   * A newer declaration's text is wanted, not only its version. One coordinator sends it to a gateway, not all.
+   * The watcher requests the text of a newer declaration, not only its version. A gateway requests it from only one coordinator.
    */
   bool wantsDeclaration;
   /**
-   * The answer has to be current as of now, confirmed by a quorum.
+   * The reply must be current as of this request, confirmed by a quorum.
    */
   bool confirm;
   /**
-   * There when the watcher is a gateway that takes requests; its service name is empty.
+   * The watcher's own announcement; set when it is a gateway that serves requests. Its service name is empty.
    */
   BackendAnnouncement gateway;
   /**
-   * The watcher is a coordinator and wants to know whose heartbeats came here.
+   * The watcher is a coordinator and requests the ids whose heartbeats this coordinator received.
    */
   bool wantsHeard;
   /**
@@ -471,7 +471,7 @@
    */
   RegistryInterest::type registryInterest;
   /**
-   * The newest revision of the evacuations that the watcher holds; the largest number of one that wants none.
+   * The newest revision of the evacuations that the watcher holds; the largest number when it requests none.
    */
   int64_t evacuationRevision;
 
@@ -550,7 +550,7 @@
 } _CoordinatorPlace__isset;
 
 /**
- * Where a coordinator can be watched.
+ * The address at which a coordinator serves watch requests, and its zone.
  */
 class CoordinatorPlace : public virtual ::apache::thrift::TBase {
  public:
@@ -640,7 +640,7 @@
   std::vector<BackendAnnouncement>  changedGateways;
   int64_t declarationVersion;
   /**
-   * The whole text, compressed; there when it was wanted and the watcher's version is older, unless the delta is.
+   * The whole text, compressed. Set when it was requested, the watcher's version is older, and no delta is sent.
    */
   std::string declaration;
   /**
@@ -648,20 +648,20 @@
    */
   std::string declarationDelta;
   /**
-   * Version and evacuations were the newest when the question was asked.
+   * Version and evacuations were the newest ones when the request was sent.
    */
   bool confirmed;
   std::vector<CoordinatorPlace>  coordinators;
   /**
-   * Ids of backend servers and gateways that called this coordinator since its last answer to the watcher.
+   * Ids of backend servers and gateways from which this coordinator received a heartbeat since its last reply to the watcher.
    */
   std::vector<std::string>  heard;
   /**
-   * Whether this coordinator hears from a leader, so that news of declarations reach it.
+   * Whether this coordinator has a known leader, so that it receives updates of the declaration.
    */
   bool hasLeader;
   /**
-   * There when the watcher's revision is older.
+   * Set when the watcher's revision is older.
    */
   Evacuations evacuations;
 
@@ -765,11 +765,11 @@
   virtual ~Introduction() noexcept;
    ::Protocol::Member member;
   /**
-   * Belongs to a log already.
+   * Whether the coordinator is already part of a log.
    */
   bool initialised;
   /**
-   * The whole system starts for the first time, so a log may be founded.
+   * Whether the whole system starts for the first time, so that a log may be bootstrapped.
    */
   bool mayFound;
 
@@ -926,7 +926,7 @@
 } _StoredOrder__isset;
 
 /**
- * An entry of the coordinators' log: the declaration as the operator sent it, compressed, or an order on a zone.
+ * An entry of the coordinators' log: the declaration as the operator sent it, compressed, or an order for a zone.
  */
 class StoredOrder : public virtual ::apache::thrift::TBase {
  public:
@@ -940,7 +940,7 @@
 
   virtual ~StoredOrder() noexcept;
   /**
-   * -1 where there is no declaration.
+   * -1 when the entry holds no declaration.
    */
   int64_t version;
   std::string compressed;
@@ -990,7 +990,7 @@
 } _StoredState__isset;
 
 /**
- * What the coordinators' snapshots hold: all that the entries before came to.
+ * The contents of the coordinators' snapshots: the state that results from all earlier entries.
  */
 class StoredState : public virtual ::apache::thrift::TBase {
  public:
@@ -1053,7 +1053,7 @@
 } _MissingShard__isset;
 
 /**
- * A shard that a gateway was asked for and has no answer of.
+ * A requested shard for which the serving gateway has no answer.
  */
 class MissingShard : public virtual ::apache::thrift::TBase {
  public:
@@ -1070,15 +1070,15 @@
   virtual ~MissingShard() noexcept;
   std::string serviceName;
   /**
-   * Backend servers at which the request may have run.
+   * Number of backend servers that may have executed the request.
    */
   int32_t executions;
   /**
-   * Requests that may have reached a backend server, whether or not they ran; any more are repeats.
+   * Number of sends that may have reached a backend server, whether or not they were executed. Further sends are repeats.
    */
   int32_t sends;
   /**
-   * The request counts in the budget of the shard's service already, also when nothing was sent.
+   * Whether the request already counts in the retry budget of the shard's service, even when nothing was sent.
    */
   bool counted;
 
@@ -1129,7 +1129,7 @@
 } _PartialAnswer__isset;
 
 /**
- * What one gateway answers another that brought it a part of a search.
+ * The reply of a serving gateway to the gateway that requested a part of a search.
  */
 class PartialAnswer : public virtual ::apache::thrift::TBase {
  public:
@@ -1143,16 +1143,16 @@
 
   virtual ~PartialAnswer() noexcept;
   /**
-   * One for each shard that is in; empty when they are packed.
+   * One signature for each shard in the answer; empty when packedSignatures is set.
    */
   std::vector<std::string>  signatures;
   /**
-   * The greatest records of these shards, greatest first.
+   * The greatest records of these shards, in descending order.
    */
   std::string records;
   std::vector<MissingShard>  missing;
   /**
-   * The signatures in fewer bytes: compressed, with a line feed after each.
+   * The signatures in fewer bytes: each followed by a line feed, then compressed.
    */
   std::string packedSignatures;
 
--- a/Libraries/LibProtocol/Generated/operator_types.cpp
+++ b/Libraries/LibProtocol/Generated/operator_types.cpp
@@ -16,54 +16,54 @@
 int _kApplyStatusValues[] = {
   ApplyStatus::ACCEPTED,
   /**
-   * Another change was accepted since baseRevision.
+   * Another change was accepted after baseRevision.
    */
   ApplyStatus::CONFLICT,
   /**
-   * The configuration has faults, all of which are listed.
+   * The configuration has faults. All of them are listed.
    */
   ApplyStatus::INVALID,
   /**
-   * The change id was used before for another content.
+   * The change id was already used with different content.
    */
   ApplyStatus::CHANGE_ID_REUSED,
   /**
-   * Ask the instance named in leaderAddress.
+   * Send the request to the instance at leaderAddress.
    */
   ApplyStatus::NOT_LEADER,
   /**
-   * The outcome is not known. Resend with the same change id.
+   * The outcome is not known. Send the change again with the same id.
    */
   ApplyStatus::UNKNOWN,
   /**
-   * The dry run found nothing that speaks against the change.
+   * The dry run found no reason to refuse the change.
    */
   ApplyStatus::WOULD_BE_ACCEPTED
 };
 const char* _kApplyStatusNames[] = {
   "ACCEPTED",
   /**
-   * Another change was accepted since baseRevision.
+   * Another change was accepted after baseRevision.
    */
   "CONFLICT",
   /**
-   * The configuration has faults, all of which are listed.
+   * The configuration has faults. All of them are listed.
    */
   "INVALID",
   /**
-   * The change id was used before for another content.
+   * The change id was already used with different content.
    */
   "CHANGE_ID_REUSED",
   /**
-   * Ask the instance named in leaderAddress.
+   * Send the request to the instance at leaderAddress.
    */
   "NOT_LEADER",
   /**
-   * The outcome is not known. Resend with the same change id.
+   * The outcome is not known. Send the change again with the same id.
    */
   "UNKNOWN",
   /**
-   * The dry run found nothing that speaks against the change.
+   * The dry run found no reason to refuse the change.
    */
   "WOULD_BE_ACCEPTED"
 };
@@ -98,7 +98,7 @@
    */
   MemberChangeKind::PROMOTE,
   /**
-   * Takes a voter or learner out.
+   * Removes a voter or learner.
    */
   MemberChangeKind::REMOVE
 };
@@ -112,7 +112,7 @@
    */
   "PROMOTE",
   /**
-   * Takes a voter or learner out.
+   * Removes a voter or learner.
    */
   "REMOVE"
 };
@@ -145,7 +145,7 @@
   MemberStatus::REFUSED,
   MemberStatus::NOT_LEADER,
   /**
-   * The outcome is not known. Look at status.
+   * The outcome is not known. Query status() for it.
    */
   MemberStatus::UNKNOWN
 };
@@ -157,7 +157,7 @@
   "REFUSED",
   "NOT_LEADER",
   /**
-   * The outcome is not known. Look at status.
+   * The outcome is not known. Query status() for it.
    */
   "UNKNOWN"
 };
--- a/Libraries/LibProtocol/Generated/operator_types.h
+++ b/Libraries/LibProtocol/Generated/operator_types.h
@@ -25,27 +25,27 @@
   enum type {
     ACCEPTED = 1,
     /**
-     * Another change was accepted since baseRevision.
+     * Another change was accepted after baseRevision.
      */
     CONFLICT = 2,
     /**
-     * The configuration has faults, all of which are listed.
+     * The configuration has faults. All of them are listed.
      */
     INVALID = 3,
     /**
-     * The change id was used before for another content.
+     * The change id was already used with different content.
      */
     CHANGE_ID_REUSED = 4,
     /**
-     * Ask the instance named in leaderAddress.
+     * Send the request to the instance at leaderAddress.
      */
     NOT_LEADER = 5,
     /**
-     * The outcome is not known. Resend with the same change id.
+     * The outcome is not known. Send the change again with the same id.
      */
     UNKNOWN = 6,
     /**
-     * The dry run found nothing that speaks against the change.
+     * The dry run found no reason to refuse the change.
      */
     WOULD_BE_ACCEPTED = 7
   };
@@ -68,7 +68,7 @@
      */
     PROMOTE = 2,
     /**
-     * Takes a voter or learner out.
+     * Removes a voter or learner.
      */
     REMOVE = 3
   };
@@ -89,7 +89,7 @@
     REFUSED = 2,
     NOT_LEADER = 3,
     /**
-     * The outcome is not known. Look at status.
+     * The outcome is not known. Query status() for it.
      */
     UNKNOWN = 4
   };
@@ -139,7 +139,7 @@
 } _UrgencyClass__isset;
 
 /**
- * One urgency class of requests and what is promised to it.
+ * An urgency class of requests and its guarantees.
  */
 class UrgencyClass : public virtual ::apache::thrift::TBase {
  public:
@@ -162,7 +162,7 @@
   int32_t priority;
   int32_t deadlineMilliseconds;
   /**
-   * Between 0 and 1. An answer that covers less is refused.
+   * Between 0 and 1. An answer with less coverage is refused.
    */
   double minimumCoverage;
   /**
@@ -224,7 +224,7 @@
 } _ServiceDeclaration__isset;
 
 /**
- * One service that the tier fronts.
+ * A service that the query tier serves.
  */
 class ServiceDeclaration : public virtual ::apache::thrift::TBase {
  public:
@@ -248,7 +248,7 @@
   int32_t connectionCapPerReplica;
   std::string urgencyClass;
   /**
-   * Names of the actions, none of which may run twice.
+   * Names of the service's actions. No action may be executed twice.
    */
   std::vector<std::string>  actions;
 
@@ -386,11 +386,11 @@
 
   virtual ~ApplyRequest() noexcept;
   /**
-   * Chosen by the operator. A resent change carries the same id.
+   * Chosen by the operator. A change that is sent again carries the same id.
    */
   std::string changeId;
   /**
-   * The revision that this change was made from.
+   * The revision on which this change is based.
    */
   int64_t baseRevision;
   Configuration configuration;
@@ -462,7 +462,7 @@
 
   virtual ~Fault() noexcept;
   /**
-   * Where, as in services[3].shards.
+   * The faulty field, for example services[3].shards.
    */
   std::string path;
   std::string message;
@@ -725,7 +725,7 @@
 } _Member__isset;
 
 /**
- * One control instance, as the replicated log knows it.
+ * A control instance as a member of the replicated log.
  */
 class Member : public virtual ::apache::thrift::TBase {
  public:
@@ -749,7 +749,7 @@
   std::string operatorAddress;
   std::string zone;
   /**
-   * Names the data folder. A folder that was lost comes back with another one.
+   * Identifies the data folder. A new folder in place of a lost one has another id.
    */
   std::string storageId;
   /**
@@ -1076,12 +1076,12 @@
    */
   Member identity;
   /**
-   * False until bootstrap, or until a leader sent the log.
+   * False until bootstrap, or until a leader has sent the log.
    */
   bool initialised;
   Membership membership;
   /**
-   * Empty, or why this instance's storage can't be trusted any more.
+   * Why this instance's storage can't be trusted any more; empty when it can.
    */
   std::string storageFailure;
 
