--- a/Tests/LibGateway/TestQuotaLedger.cpp
+++ b/Tests/LibGateway/TestQuotaLedger.cpp
@@ -4,7 +4,7 @@
  */
 
 // The requests that the keepers of a quota admit together stay within it whatever faults
-// the gateways have, and nearly all of the quota can be used.
+// the gateways have, and at least 97 of 100 requests within the quota are admitted.
 
 #include <LibGateway/QuotaLedger.h>
 #include <LibGateway/TokenBucket.h>
